--- a/cartweir/faults/rig.py
+++ b/cartweir/faults/rig.py
@@ -3,13 +3,15 @@
 
 import asyncio
 import contextlib
+import functools
+import itertools
 import json
 import random
 import signal
 import socket
 import sys
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -70,16 +72,48 @@
 before = 2"""
 
 
+# Ports are handed out below the range from which Linux draws ports of its own (32768 and up), so that no outgoing
+# connection takes one while a process that listens there is restarted.
+FIRST_PORT = 12_000
+PORTS_PER_PROCESS = 256
+PORT_RANGES = 80
+
+
+@functools.cache
+def _claim_ports() -> tuple[socket.socket, Iterator[int]]:
+    """Claims a range of ports for this process, and returns its ports in turn.
+
+    The claim is a UDP socket bound to the first port of the range. It is released when the process ends, however it ends,
+    so two processes on one machine never hand out the same ports.
+    """
+    claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    for number in range(PORT_RANGES):
+        first = FIRST_PORT + number * PORTS_PER_PROCESS
+        with contextlib.suppress(OSError):
+            claim.bind(("127.0.0.1", first))
+            return claim, itertools.cycle(range(first + 1, first + PORTS_PER_PROCESS))
+    claim.close()
+    raise OSError(f"all {PORT_RANGES} port ranges from {FIRST_PORT} are claimed by other processes")
+
+
+def _can_listen(port: int) -> bool:
+    with socket.socket() as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        try:
+            probe.bind(("127.0.0.1", port))
+        except OSError:
+            return False
+    return True
+
+
 def free_ports(count: int) -> list[str]:
-    """Addresses that were free a moment ago."""
-    held = [socket.socket() for _ in range(count)]
-    try:
-        for sock in held:
-            sock.bind(("127.0.0.1", 0))
-        return [f"127.0.0.1:{sock.getsockname()[1]}" for sock in held]
-    finally:
-        for sock in held:
-            sock.close()
+    """Returns addresses on which nothing listens, from the port range that this process has claimed."""
+    _, ports = _claim_ports()
+    free = filter(_can_listen, itertools.islice(ports, PORTS_PER_PROCESS - 1))
+    found = [f"127.0.0.1:{port}" for port in itertools.islice(free, count)]
+    if len(found) < count:
+        raise OSError(f"only {len(found)} of {count} ports are free in the range of this process")
+    return found
 
 
 @dataclass
