--- a/cartweir/drill/__main__.py
+++ b/cartweir/drill/__main__.py
@@ -1,4 +1,5 @@
 """python -m cartweir.drill: read the wire on standard input, reply on standard output."""
+
 import gc
 import io
 import sys
--- a/cartweir/drill/adapter.py
+++ b/cartweir/drill/adapter.py
@@ -1,4 +1,5 @@
 """Wire names, units and ids to ours and back: one Seat for each instance, no state but an instance's own."""
+
 from __future__ import annotations
 
 import traceback
@@ -11,22 +12,40 @@
 from ..interface import Appliance, Dispatch, Invocation, Outcome, Stage, Tally
 from .wire import WireError, encode, messages, milliseconds, one_line
 
-OUTCOMES = {200: ours.SUCCEEDED, 502: ours.ERROR, 429: ours.FULL, 408: ours.TIMEOUT, 521: ours.UNCONNECTED,
-            520: ours.RESET, 444: ours.CANCELLED, 409: ours.MOOT}
+OUTCOMES = {
+    200: ours.SUCCEEDED,
+    502: ours.ERROR,
+    429: ours.FULL,
+    408: ours.TIMEOUT,
+    521: ours.UNCONNECTED,
+    520: ours.RESET,
+    444: ours.CANCELLED,
+    409: ours.MOOT,
+}
 ANSWERS = {200: "ok", 409: "moot", 429: "full", 502: "error", 408: "timeout"}
 PHASES = (ours.ON_TRIAL, ours.GOING_BACK, ours.RELEASED, ours.WITHDRAWN)
 VERDICTS = {ours.NO_VOTE: 0, ours.ON: 1, ours.HOLD: 2, ours.BACK: 3}
 STATES = {"ready": ours.READY, "draining": ours.DRAINING, "gone": ours.GONE}
 LISTS = {"diff": "changes", "snapshot": "whole", "disk": "cached", "error": "failed"}
+
+
 def _load(row: dict[str, Any]) -> dict[str, float] | None:
     return {LOADS[name]: value for name, value in row.get("usage", {}).items() if name in LOADS} or None
 
 
 def _entry(row: dict[str, Any]) -> Row:
     started = row.get("upSince", 0)
-    return Row(row["appliance"], row.get("runs", 0), started, started,
-               STATES.get(row.get("phase", "ready"), ours.DRAINING), row.get("dc"), row.get("pod"), row.get("shape"),
-               row.get("size"))
+    return Row(
+        row["appliance"],
+        row.get("runs", 0),
+        started,
+        started,
+        STATES.get(row.get("phase", "ready"), ours.DRAINING),
+        row.get("dc"),
+        row.get("pod"),
+        row.get("shape"),
+        row.get("size"),
+    )
 
 
 class Seat:
@@ -45,14 +64,20 @@
         self.out.append(encode(message, agent=self.name, **members))
 
     def dispatch(self, dispatch: Dispatch) -> None:
-        self._say("SEND", requestId=dispatch.invocation.ident, appliance=dispatch.appliance.ident,
-                  tryFor=milliseconds(dispatch.patience) if dispatch.patience else None)
+        self._say(
+            "SEND",
+            requestId=dispatch.invocation.ident,
+            appliance=dispatch.appliance.ident,
+            tryFor=milliseconds(dispatch.patience) if dispatch.patience else None,
+        )
 
     def cancel(self, dispatch: Dispatch) -> None:
         self._say("STOP_ATTEMPT", requestId=dispatch.invocation.ident, shot=dispatch.number)
 
     def throttle(self, inv: Invocation, retry_after: int) -> None:
-        self._say("PUSH_BACK", requestId=inv.ident, stayAway=milliseconds(retry_after) if retry_after else None)
+        self._say(
+            "PUSH_BACK", requestId=inv.ident, stayAway=milliseconds(retry_after) if retry_after else None
+        )
 
     def terminate(self, inv: Invocation) -> None:
         self._say("END_FAILED", requestId=inv.ident)
@@ -87,8 +112,17 @@
         operation = self.operations.get(row["service"])
         if operation is None:
             raise WireError(f"line {number}: INGRESS: service {row['service'][:40]!r} is not in the settings")
-        inv = Invocation(row["requestId"], operation, now, now + row["left"], row.get("billing", ""),
-                         row.get("item"), row.get("estimate", 0), row.get("retry", False), row.get("update", False))
+        inv = Invocation(
+            row["requestId"],
+            operation,
+            now,
+            now + row["left"],
+            row.get("billing", ""),
+            row.get("item"),
+            row.get("estimate", 0),
+            row.get("retry", False),
+            row.get("update", False),
+        )
         self.invocations[inv.ident] = inv
         self.engine.take(inv)
         self._forget(inv)
@@ -102,8 +136,15 @@
         shot = row.get("shot", 0)
         if inv is None or not 0 <= shot < len(inv.dispatches) or inv.dispatches[shot].ended:
             return
-        self.engine.outcome(Outcome(inv.dispatches[shot], OUTCOMES.get(row["verdict"], ours.ERROR),
-                                    row.get("rtt", 0), row.get("complete", False), _load(row)))
+        self.engine.outcome(
+            Outcome(
+                inv.dispatches[shot],
+                OUTCOMES.get(row["verdict"], ours.ERROR),
+                row.get("rtt", 0),
+                row.get("complete", False),
+                _load(row),
+            )
+        )
         self._forget(inv)
 
     def expired(self, row: dict[str, Any]) -> None:
@@ -135,12 +176,28 @@
                 if not 0 <= phase < len(PHASES):
                     raise WireError(f"line {number}: RELEASE_STATE: whereAt is malformed ({phase})")
                 answer = ANSWERS.get(row.get("verdict", 200), "error") if row.get("how", 0) == 1 else None
-                agent.on_stage(Stage(row["build"], row.get("ring", 0), PHASES[phase], row.get("cap", 0.0),
-                                     row.get("lateness", 0), answer))
+                agent.on_stage(
+                    Stage(
+                        row["build"],
+                        row.get("ring", 0),
+                        PHASES[phase],
+                        row.get("cap", 0.0),
+                        row.get("lateness", 0),
+                        answer,
+                    )
+                )
             case "SCORECARD":
                 if row["service"] in self.operations:
-                    agent.on_tally(Tally(row["build"], self.operations[row["service"]], row["many"], row["failed"],
-                                         row.get("rtt", 0), row.get("lateness", 0)))
+                    agent.on_tally(
+                        Tally(
+                            row["build"],
+                            self.operations[row["service"]],
+                            row["many"],
+                            row["failed"],
+                            row.get("rtt", 0),
+                            row.get("lateness", 0),
+                        )
+                    )
             case "COMPLAINT":
                 if appliance is not None and row["service"] in self.operations:
                     agent.on_flag(self.operations[row["service"]], appliance, row.get("lateness", 0))
--- a/cartweir/drill/wire.py
+++ b/cartweir/drill/wire.py
@@ -1,4 +1,5 @@
 """The line codec of wire protocol pine-6f8d: text lines to plain values and back. Knows no meaning."""
+
 from __future__ import annotations
 
 import base64
@@ -47,27 +48,45 @@
     "TURN": ({"clock": microseconds}, {}),
     "SPAWN": ({**_AGENT, "rngSeed": int, "params": _settings}, {}),
     "POOL": ({"sheet": int, "rows": int}, {}),
-    "ENTRY": ({"appliance": str}, {"upSince": microseconds, "phase": str, "shape": str, "size": float,
-                                   "dc": str, "pod": int, "runs": int}),
+    "ENTRY": (
+        {"appliance": str},
+        {
+            "upSince": microseconds,
+            "phase": str,
+            "shape": str,
+            "size": float,
+            "dc": str,
+            "pod": int,
+            "runs": int,
+        },
+    ),
     "REGISTRY": ({**_AGENT, "how": str}, {"version": int, "sheet": int}),
-    "INGRESS": ({**_AGENT, "requestId": int, "service": str, "left": microseconds},
-                {"billing": str, "item": str, "estimate": microseconds, "retry": _bool, "update": _bool}),
-    "SCORECARD": ({**_AGENT, "build": int, "service": str, "many": int, "failed": int},
-                  {"rtt": microseconds, "lateness": microseconds}),
+    "INGRESS": (
+        {**_AGENT, "requestId": int, "service": str, "left": microseconds},
+        {"billing": str, "item": str, "estimate": microseconds, "retry": _bool, "update": _bool},
+    ),
+    "SCORECARD": (
+        {**_AGENT, "build": int, "service": str, "many": int, "failed": int},
+        {"rtt": microseconds, "lateness": microseconds},
+    ),
     "EXPIRED": ({**_AGENT, "requestId": int}, {}),
     "DESTROY": (_AGENT, {}),
     "TIMEOUT_FIRED": ({**_AGENT, "ref": int}, {}),
-    "RELEASE_STATE": ({**_AGENT, "build": int}, {"ring": int, "whereAt": int, "cap": float, "how": int,
-                                                 "verdict": int, "lateness": microseconds}),
-    "COMPLETED": ({**_AGENT, "requestId": int, "verdict": int},
-                  {"appliance": str, "shot": int, "complete": _bool, "rtt": microseconds, "usage": _load}),
+    "RELEASE_STATE": (
+        {**_AGENT, "build": int},
+        {"ring": int, "whereAt": int, "cap": float, "how": int, "verdict": int, "lateness": microseconds},
+    ),
+    "COMPLETED": (
+        {**_AGENT, "requestId": int, "verdict": int},
+        {"appliance": str, "shot": int, "complete": _bool, "rtt": microseconds, "usage": _load},
+    ),
     "HEARD": ({**_AGENT, "who": int}, {"body": _bytes}),
     "UNDER_WAY": ({**_AGENT, "requestId": int}, {"appliance": str, "shot": int, "rtt": microseconds}),
     "COMPLAINT": ({**_AGENT, "service": str, "appliance": str}, {"lateness": microseconds}),
     "SAMPLED": ({**_AGENT, "appliance": str, "verdict": int}, {"rtt": microseconds, "usage": _load}),
     "OVER_TO_YOU": ({}, {}),
 }
-_TAILS = {"SPAWN": "params"}            # a member that may hold tabs, as it runs to the end of the line
+_TAILS = {"SPAWN": "params"}  # a member that may hold tabs, as it runs to the end of the line
 
 
 def decode(line: str, number: int) -> tuple[str, dict[str, Any]]:
--- a/cartweir/engine.py
+++ b/cartweir/engine.py
@@ -1,4 +1,5 @@
 """Hosts one instance of the decisions: its clock, its timers, and the generators that wait. Mechanical."""
+
 from __future__ import annotations
 
 import heapq
@@ -38,7 +39,9 @@
         self.fetch_list, self.message = door.fetch_list, door.message
         self._timers: list[tuple[int, int, Callable[[], None]]] = []
         self._order = self._turns = 0
-        self._waits: dict[int, Invocation] = {}         # by turn: who waits; timers know turns alone, and keep nothing alive
+        self._waits: dict[
+            int, Invocation
+        ] = {}  # by turn: who waits; timers know turns alone, and keep nothing alive
         self._woken: deque[int] = deque()
         self._probing: list[tuple[Invocation, int, list[Appliance]]] = []
         self._next_alarm: int | None = None
@@ -69,7 +72,7 @@
         try:
             while self._timers and self._timers[0][0] <= self.now and self._timers[0][1] <= last:
                 heapq.heappop(self._timers)[2]()
-        finally:                    # a fault in one of them withholds none of the others
+        finally:  # a fault in one of them withholds none of the others
             self._arm()
 
     def overdue(self) -> None:
@@ -92,7 +95,9 @@
         if inv.steps is not None:
             self._resume(inv, outcome)
 
-    def probed(self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None) -> None:
+    def probed(
+        self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
+    ) -> None:
         self.agent.on_probe(appliance, answered, took, load)
         if answered:
             self._woken.extend(turn for _, turn, asked in self._probing if appliance in asked)
--- a/cartweir/interface.py
+++ b/cartweir/interface.py
@@ -2,6 +2,7 @@
 
 Times are whole microseconds on the host's clock. Objects point to each other; ids stay at the door.
 """
+
 from __future__ import annotations
 
 from collections.abc import Callable, Generator, Mapping
@@ -27,26 +28,27 @@
 class Operation:
     name: str
     effect: str = IDEMPOTENT
-    group: str = "all"              # fingerprinted: which appliances drop repeats (all, zone, cell)
-    window: int = 0                 # fingerprinted: for how long they do
+    group: str = "all"  # fingerprinted: which appliances drop repeats (all, zone, cell)
+    window: int = 0  # fingerprinted: for how long they do
     slo_time: int = 0
     time_limit: int = 0
     billed_value: float = 1.0
     late_value: float = 0.0
     stream: bool = False
-    learned: Any = None             # the decisions' own notes
+    learned: Any = None  # the decisions' own notes
 
 
 @dataclass(eq=False, slots=True)
 class Appliance:
     """One process of one machine; a restart or another build makes a new object."""
+
     ident: str
     build: int = 0
     zone: str = ""
     cell: int = 0
     kind: str = ""
     weight: float = 1.0
-    started: int = 0                # 0: long ago
+    started: int = 0  # 0: long ago
     state: str = READY
     learned: Any = None
 
@@ -56,10 +58,10 @@
     ident: int
     operation: Operation
     taken: int
-    expires: int                    # the client waits no longer than this
+    expires: int  # the client waits no longer than this
     customer: str = ""
     key: str | None = None
-    hint: int = 0                   # rough work in microseconds; 0: not told
+    hint: int = 0  # rough work in microseconds; 0: not told
     retry: bool = False
     write: bool = False
     dispatches: list[Dispatch] = field(default_factory=list)
@@ -73,8 +75,9 @@
 @dataclass(eq=False, slots=True)
 class Dispatch:
     """Yield: send the invocation to an appliance; resumed with an Outcome, or None once `until` has come."""
+
     appliance: Appliance
-    patience: int = 0               # give the dispatch up after so long; 0: as long as the client waits
+    patience: int = 0  # give the dispatch up after so long; 0: as long as the client waits
     until: int | None = None
     invocation: Invocation | None = None
     number: int = 0
@@ -88,19 +91,20 @@
     dispatch: Dispatch
     how: str
     took: int
-    complete: bool                  # nothing more is owed for the invocation
+    complete: bool  # nothing more is owed for the invocation
     load: Mapping[str, float] | None = None
 
 
 @dataclass(slots=True)
 class Stage:
     """The platform's word on the newest build."""
+
     build: int
     number: int
     phase: str
     cap: float
     age: int
-    answer: str | None = None       # to a vote: ok, moot, full, error, timeout; None: unasked
+    answer: str | None = None  # to a vote: ok, moot, full, error, timeout; None: unasked
 
     @property
     def word(self) -> tuple[int, int, str]:
@@ -122,12 +126,14 @@
 @dataclass(slots=True)
 class Wait:
     """Resumed with the next Outcome, or with None at `until` or when woken."""
+
     until: int | None
 
 
 @dataclass(slots=True)
 class Probe:
     """Probe these; resumed when one has answered, or with None at `until`."""
+
     appliances: list[Appliance]
     until: int
 
@@ -135,12 +141,14 @@
 @dataclass(slots=True)
 class Cancel:
     """Stop waiting for a dispatch; resumed at once."""
+
     dispatch: Dispatch
 
 
 @dataclass(slots=True)
 class Throttle:
     """Final answer: trying again is harmless, after so long."""
+
     retry_after: int = 0
 
 
@@ -155,8 +163,9 @@
 
 class Host(Protocol):
     """What the decisions may ask of their host."""
+
     now: int
-    lag: int                            # by how long the earliest timer was overdue: 0 but after a stall
+    lag: int  # by how long the earliest timer was overdue: 0 but after a stall
 
     def at(self, due: int, do: Callable[[], None]) -> None: ...
     def wake(self, inv: Invocation) -> None: ...
--- a/cartweir/logic.py
+++ b/cartweir/logic.py
@@ -4,6 +4,7 @@
 the methods on_... as news comes, observe() for every outcome, and runs handle() for each invocation taken: a
 generator that yields what it wants done. Times are whole microseconds.
 """
+
 from __future__ import annotations
 
 import random
@@ -12,37 +13,73 @@
 from math import exp, inf, log
 from typing import Any
 
-from .interface import (AWAY, BACK, CACHED, CANCELLED, CHANGES, CURRENT, ERROR, FAILED, FINGERPRINTED, FULL,
-                        HOLD, IDEMPOTENT, MOOT, NEVER_RAN, ON, ON_TRIAL, READY, RELEASED, RESET,
-                        SIDE_EFFECTING, SUCCEEDED, TIMEOUT, UNANSWERED, UNCONNECTED, WHOLE, Appliance, Cancel,
-                        Dispatch, Host, Invocation, Operation, Outcome, Probe, Stage, Steps, Tally, Terminate,
-                        Throttle, Wait)
+from .interface import (
+    AWAY,
+    BACK,
+    CACHED,
+    CANCELLED,
+    CHANGES,
+    CURRENT,
+    ERROR,
+    FAILED,
+    FINGERPRINTED,
+    FULL,
+    HOLD,
+    IDEMPOTENT,
+    MOOT,
+    NEVER_RAN,
+    ON,
+    ON_TRIAL,
+    READY,
+    RELEASED,
+    RESET,
+    SIDE_EFFECTING,
+    SUCCEEDED,
+    TIMEOUT,
+    UNANSWERED,
+    UNCONNECTED,
+    WHOLE,
+    Appliance,
+    Cancel,
+    Dispatch,
+    Host,
+    Invocation,
+    Operation,
+    Outcome,
+    Probe,
+    Stage,
+    Steps,
+    Tally,
+    Terminate,
+    Throttle,
+    Wait,
+)
 from .state import Counts, Histogram, Ledger, Memory, Notes
 from .window import WindowBudget
 
 MS, S = 1_000, 1_000_000
-ALPHA = 0.05                                # the paper's level
-EARLIER_BLOCK = 5                           # outcomes of earlier builds that a block needs; for each stream
-SLOW, ERRORS = (20, 0.2), (8, 0.2)          # its trial outcomes and the Normal prior's width
-FLAGS, POOLED = (80, 0.2), ((80, 0.08), (30, 0.2), (30, 0.1))     # reports; these, slowness, errors of all
-BEFORE, SAMPLED, LITTLE, MUCH = (40, 0.3), (60, 0.2), 0.15, 0.3     # all against when the trial had little
-FADE = 15 / 16                              # of the weight of past blocks, at each new one
-SKIP = 5 * S                                # slowness of an appliance younger than this is no evidence
-SLOW_BY = 1.4                               # beyond what cold memories of keys explain
-FEW = 4.0                                   # so many open ones an agent is free to reach
-SINGLE = 0.4                                # of a cut, where the late answer came behind a quick one
+ALPHA = 0.05  # the paper's level
+EARLIER_BLOCK = 5  # outcomes of earlier builds that a block needs; for each stream
+SLOW, ERRORS = (20, 0.2), (8, 0.2)  # its trial outcomes and the Normal prior's width
+FLAGS, POOLED = (80, 0.2), ((80, 0.08), (30, 0.2), (30, 0.1))  # reports; these, slowness, errors of all
+BEFORE, SAMPLED, LITTLE, MUCH = (40, 0.3), (60, 0.2), 0.15, 0.3  # all against when the trial had little
+FADE = 15 / 16  # of the weight of past blocks, at each new one
+SKIP = 5 * S  # slowness of an appliance younger than this is no evidence
+SLOW_BY = 1.4  # beyond what cold memories of keys explain
+FEW = 4.0  # so many open ones an agent is free to reach
+SINGLE = 0.4  # of a cut, where the late answer came behind a quick one
 LOOK, STALL, STALE = 500 * MS, 150 * MS, S  # between looks at evidence; own stall; load is no longer known
-THRIFT = 0.01                               # of the worth asked for: what probes may cost
-STAY, ENOUGH = 0.9, 6                       # of the dispatches, on standing connections, where so many stand
-UNREAD = 0.6                                # of the SLO time: out for longer may be answered unread
-FIT = 0.7                                   # of the cap: what one-way keys may bind
-COLD = 0.55                                 # of the multiple at which a cold one falls: its part at most
-ANNOUNCED_WITHIN, LEASE_MARGIN = 6 * S, 100 * MS    # the platform's; a request may be under way at the end
-RESTART_TIME, PRESUMED_AWAY = 2 * S, 40 * S # at least, once discovery went; how long a silence is a queue
-BACKOFFS = 2                                # doublings, from a second, of the pause before discovery is asked
-ON_AFTER, VOTE_SPREAD = 3 * S, S // 2       # 'on' is due so long after the newest start, then spread out
-HOLD_ABOVE, HOLD_MOST = 4.5, 3 * S          # undecided evidence delays 'on', at most so long a stage
-EDGES = [round(10 * MS * 1.5 ** i) for i in range(18)]      # bins of times
+THRIFT = 0.01  # of the worth asked for: what probes may cost
+STAY, ENOUGH = 0.9, 6  # of the dispatches, on standing connections, where so many stand
+UNREAD = 0.6  # of the SLO time: out for longer may be answered unread
+FIT = 0.7  # of the cap: what one-way keys may bind
+COLD = 0.55  # of the multiple at which a cold one falls: its part at most
+ANNOUNCED_WITHIN, LEASE_MARGIN = 6 * S, 100 * MS  # the platform's; a request may be under way at the end
+RESTART_TIME, PRESUMED_AWAY = 2 * S, 40 * S  # at least, once discovery went; how long a silence is a queue
+BACKOFFS = 2  # doublings, from a second, of the pause before discovery is asked
+ON_AFTER, VOTE_SPREAD = 3 * S, S // 2  # 'on' is due so long after the newest start, then spread out
+HOLD_ABOVE, HOLD_MOST = 4.5, 3 * S  # undecided evidence delays 'on', at most so long a stage
+EDGES = [round(10 * MS * 1.5**i) for i in range(18)]  # bins of times
 
 
 # ---- judge: is the build on trial worse than the earlier one? ---------------------------------------
@@ -55,7 +92,7 @@
         if alone and self.counts[False] < EARLIER_BLOCK:
             self.counts[False], self.failures[False] = self.kept
         most = 5 * max(self.counts[True], self.block if self.block > SLOW[0] else ERRORS[0])
-        if self.counts[False] > most and not alone:         # of late only: guards against jams
+        if self.counts[False] > most and not alone:  # of late only: guards against jams
             self.counts[False], self.failures[False] = self.counts[False] / 2, self.failures[False] / 2
         if self.counts[True] >= self.block and self.counts[False] >= EARLIER_BLOCK:
             # blocks fade: guards against a build that turns bad late, or only once it bears the full load
@@ -66,7 +103,7 @@
     def gain(self) -> list[float]:
         """Of the open block: 1/v and d/v, but for the share that v takes; and all outcomes and failures."""
         shares = [min(1.0, failed / n) for failed, n in zip(self.failures, self.counts)]
-        shares[False] = max(shares[False], 0.1 * (self.block == SLOW[0]))   # by what slow means
+        shares[False] = max(shares[False], 0.1 * (self.block == SLOW[0]))  # by what slow means
         weight = 1 / (1 / self.counts[False] + 1 / self.counts[True])
         failures = sum(share * n for share, n in zip(shares, self.counts))
         return [weight, weight * (shares[True] - shares[False]), sum(self.counts), failures]
@@ -75,19 +112,24 @@
         """ln L. An open block counts from two failures on: with little traffic none ever fills. v takes the
         share that both sides would have in common, of all blocks, lest good ones outweigh bad ones."""
         totals = self.totals
-        if self.counts[False] >= EARLIER_BLOCK and self.counts[True] and (  # reports come after these
-                self.failures[True] > self.least * self.half):
+        if (
+            self.counts[False] >= EARLIER_BLOCK
+            and self.counts[True]
+            and (  # reports come after these
+                self.failures[True] > self.least * self.half
+            )
+        ):
             totals = [old + new for old, new in zip(totals, self.gain())]
         precision, weighted, count, failures = totals
-        if weighted <= 0 or (self.blocks < 2 and self.block == POOLED[1][0]):       # a jam fills one
+        if weighted <= 0 or (self.blocks < 2 and self.block == POOLED[1][0]):  # a jam fills one
             return 0.0
         both = (failures + self.half) / (count + 2 * self.half)
         spread = both * (1 - both) * (2 * self.half) ** 0.5
-        grown = 1 + self.width ** 2 * precision / spread
-        return self.width ** 2 * (weighted / spread) ** 2 / (2 * grown) - log(grown) / 2
+        grown = 1 + self.width**2 * precision / spread
+        return self.width**2 * (weighted / spread) ** 2 / (2 * grown) - log(grown) / 2
 
     def margin(self) -> float:
-        return self.log_ratio() + log(self.level)           # above 0: 'back' stands
+        return self.log_ratio() + log(self.level)  # above 0: 'back' stands
 
 
 class Jury:
@@ -95,24 +137,32 @@
         self.agent, self.known = agent, agent.known
         self.judges: dict[tuple, Judge] = {}
         self.times: dict[str, Histogram] = {}
-        self.usual: dict[Operation, int] = {}   # mean times by tallies, before the trial had traffic
-        self.untold, self.failing = Ledger(), (None, 0)     # the latter: last of the trial to fail, and when
+        self.usual: dict[Operation, int] = {}  # mean times by tallies, before the trial had traffic
+        self.untold, self.failing = Ledger(), (None, 0)  # the latter: last of the trial to fail, and when
         # guards against one of very many being wrong: the more may vote and the fewer are needed, the smaller
         agents, needed = self.known["agents"], self.known["back_votes"] or 1
-        self.level = min(ALPHA, max(ALPHA * needed, needed - 2 * needed ** 0.5) / agents ** 0.5)
-
-    def add(self, operation: Operation | None, stream: tuple, trial: bool, failures: float, count: int = 1,
-            alone: bool | None = None) -> None:
+        self.level = min(ALPHA, max(ALPHA * needed, needed - 2 * needed**0.5) / agents**0.5)
+
+    def add(
+        self,
+        operation: Operation | None,
+        stream: tuple,
+        trial: bool,
+        failures: float,
+        count: int = 1,
+        alone: bool | None = None,
+    ) -> None:
         """Compared within one operation, so that a change of mix moves nothing; None: where all are alike."""
         if (operation, stream) not in self.judges:
             pooled = stream == SAMPLED or (
-                self.known["may_message"] and operation is None and stream not in (SLOW, BEFORE))
+                self.known["may_message"] and operation is None and stream not in (SLOW, BEFORE)
+            )
             of = f"{operation.name if operation else 'all'} {stream[0]}/{stream[1]}"
             self.judges[operation, stream] = Judge(*stream, level=ALPHA if pooled else self.level, of=of)
             if stream[0] == FLAGS[0] and not pooled and self.known["back_votes"] > 1:
-                self.judges[operation, stream].least = 1        # one report, as others must have one too
+                self.judges[operation, stream].least = 1  # one report, as others must have one too
             elif stream == BEFORE:
-                self.judges[operation, stream].least = 5        # three machines, lest a few be taken for all
+                self.judges[operation, stream].least = 5  # three machines, lest a few be taken for all
         alone = self.agent.alone if alone is None else alone
         self.judges[operation, stream].add(trial, failures, count, alone)
 
@@ -121,7 +171,7 @@
 
     def share(self, kind: int, trial: bool, failures: int, count: int, own: bool = True) -> None:
         """Streams that agents pool where they may message. Reported answers stand for those not reported."""
-        if own and self.known["may_message"]:               # comes back with the sum
+        if own and self.known["may_message"]:  # comes back with the sum
             self.untold.note(kind, trial, count, failures)
         elif kind == 0 and (part := self.known["flag_share"]) > 0:
             self.add(None, (*(FLAGS if own else POOLED[0]), 0.5 / part), trial, failures / part, count)
@@ -132,19 +182,19 @@
         dispatch, how, appliance = outcome.dispatch, outcome.how, outcome.dispatch.appliance
         operation, trial = dispatch.invocation.operation, self.agent.on_newest(appliance)
         times = self.times.setdefault(appliance.kind, Histogram(EDGES, 400))
-        slo_time = operation.slo_time       # times are in parts of it, so that operations pool
+        slo_time = operation.slo_time  # times are in parts of it, so that operations pool
         too_long = SLOW_BY * times.edge(0.9) * slo_time / S if times.total >= 15 else inf
         if not trial and how == SUCCEEDED:
             times.add(outcome.took * S // slo_time)
         if not self.agent.judging() or how == CANCELLED or how in NEVER_RAN:
             return
-        if how == SUCCEEDED:        # guards against what fails anywhere: errors count once repeated well
+        if how == SUCCEEDED:  # guards against what fails anywhere: errors count once repeated well
             for earlier in (d for d in dispatch.invocation.dispatches if d.ended == ERROR):
                 self.judged(earlier, True, True)
             self.share(0, trial, 0, 1)
             self.compare(appliance, outcome.took > too_long)
         final = outcome.complete or operation.effect == SIDE_EFFECTING
-        if how != ERROR or (final and not self.agent.alone):    # alone: no repeat tells it apart
+        if how != ERROR or (final and not self.agent.alone):  # alone: no repeat tells it apart
             self.judged(dispatch, how in (ERROR, RESET), how != SUCCEEDED or outcome.took > too_long)
 
     def before(self) -> bool | None:
@@ -161,8 +211,12 @@
         counts = not appliance.started or now - appliance.started >= SKIP
         if much:
             counts = counts and now > agent.newest() + S and appliance.learned.told_in != agent.stage.word
-        if much is not None and counts and agent.host.lag <= STALL and (
-                self.known["back_votes"] > 1 and appliance.zone == self.known["zone"]):
+        if (
+            much is not None
+            and counts
+            and agent.host.lag <= STALL
+            and (self.known["back_votes"] > 1 and appliance.zone == self.known["zone"])
+        ):
             appliance.learned.told_in = agent.stage.word
             self.add(None, BEFORE, much, slow, alone=much)
 
@@ -175,14 +229,14 @@
         usual = self.usual.setdefault(tally.operation, tally.mean_time)
         if not much:
             self.usual[tally.operation] = usual + (tally.mean_time - usual) // 16
-        slow = exp(-SLOW_BY * log(10) * usual / tally.mean_time)    # were times exponential
+        slow = exp(-SLOW_BY * log(10) * usual / tally.mean_time)  # were times exponential
         self.add(None, SAMPLED, much, slow * count, count, alone=much)
 
     def judged(self, dispatch: Dispatch, failed: bool, slow: bool) -> None:
         operation, appliance, now = dispatch.invocation.operation, dispatch.appliance, self.agent.host.now
         trial, trials = self.agent.on_newest(appliance), len(self.agent.trial)
-        if trial and (failed or slow) and trials > 1:       # in a row a machine counts once in 3 s, lest it
-            if appliance is self.failing[0] and now - self.failing[1] < 3 * S:      # be taken for a bad build
+        if trial and (failed or slow) and trials > 1:  # in a row a machine counts once in 3 s, lest it
+            if appliance is self.failing[0] and now - self.failing[1] < 3 * S:  # be taken for a bad build
                 return
             self.failing = (appliance, now)
         if dispatch.ended != TIMEOUT:
@@ -190,8 +244,13 @@
             self.share(2, trial, failed, 1)
         # a cold one is slow whatever its build; a single one or an own stall tells nothing, nor a jump in
         # load as the earlier machines go
-        spoilt = now - appliance.started < SKIP and appliance.started or self.agent.host.lag > STALL or (
-            trial and trials == 1) or self.agent.alone
+        spoilt = (
+            now - appliance.started < SKIP
+            and appliance.started
+            or self.agent.host.lag > STALL
+            or (trial and trials == 1)
+            or self.agent.alone
+        )
         if not spoilt:
             self.add(operation, SLOW, trial, slow)
             self.add(None, SLOW, trial, slow)
@@ -206,15 +265,15 @@
 
     def __init__(self, drain_grace: int) -> None:
         self.term = ANNOUNCED_WITHIN + drain_grace - LEASE_MARGIN
-        self.silent_since: int | None = None        # None: discovery tells something, or was not missed yet
-        self.age_known = True                       # False: of a list that a new process was given
+        self.silent_since: int | None = None  # None: discovery tells something, or was not missed yet
+        self.age_known = True  # False: of a list that a new process was given
 
     def update(self, how: str, now: int, waited: int | None) -> None:
         if how not in (AWAY, UNANSWERED):
             self.silent_since, self.age_known = None, True
-        elif how == AWAY and self.silent_since is None:     # it announces nothing, and is not back at once
+        elif how == AWAY and self.silent_since is None:  # it announces nothing, and is not back at once
             self.silent_since = now + RESTART_TIME
-        elif how == AWAY and self.age_known:                # to a list of unknown age that adds nothing
+        elif how == AWAY and self.age_known:  # to a list of unknown age that adds nothing
             self.silent_since = max(now, self.silent_since)
         elif how == UNANSWERED and self.silent_since is None:
             self.silent_since = now - (ANNOUNCED_WITHIN if waited is None else waited)
@@ -234,8 +293,10 @@
         self.list_lease = ListLease(known["drain_grace"])
         span, apart = known["window"] + 2 * known["tick"], known["per_operation"]
         whole = WindowBudget(span, known["free"])
-        self.exposures = {operation: WindowBudget(span, known["free"]) if apart else whole
-                          for operation in known["operations"]}
+        self.exposures = {
+            operation: WindowBudget(span, known["free"]) if apart else whole
+            for operation in known["operations"]
+        }
         if known["must_ask"]:
             host.subscribe()
             self.ask_in(self.some(S))
@@ -252,7 +313,7 @@
         return bool(self.stage) and appliance.build >= self.stage.build + (self.stage.phase != ON_TRIAL)
 
     def some(self, time: int) -> int:
-        return self.chance.randrange(time // 2, time)           # spreads agents out
+        return self.chance.randrange(time // 2, time)  # spreads agents out
 
     # ---- the news ----
     def ask_in(self, wait: int) -> None:
@@ -260,20 +321,20 @@
         self.host.at(self.asks_at, self.keep_asking)
 
     def keep_asking(self) -> None:
-        if not self.subscribed and self.host.now >= self.asks_at:   # an earlier timer has been replaced
+        if not self.subscribed and self.host.now >= self.asks_at:  # an earlier timer has been replaced
             self.host.subscribe()
-            self.ask_in(self.some(2 * S))   # well before not asking counts as having been told
+            self.ask_in(self.some(2 * S))  # well before not asking counts as having been told
 
     def on_list(self, how: str, changed: list[Appliance], waited: int | None = 0) -> None:
         """waited: without an answer, how long one was waited for; None: for an unknown time, not by us."""
         self.list_lease.update(how, self.host.now, waited)
-        if how in (AWAY, UNANSWERED) and waited is not None:    # backs off: failed calls fill its queue too
+        if how in (AWAY, UNANSWERED) and waited is not None:  # backs off: failed calls fill its queue too
             self.misses += 1
             pause = self.chance.randrange(S << min(self.misses, BACKOFFS))
             self.ask_in(max(pause, self.some(2 * S) - waited))
         elif how == FAILED and self.subscribed:
             self.ask_in(self.some(S))
-        if how not in (CHANGES, WHOLE, CACHED):     # failed: whether an earlier one still stands is not told
+        if how not in (CHANGES, WHOLE, CACHED):  # failed: whether an earlier one still stands is not told
             self.subscribed = how == CURRENT
             return
         self.subscribed, self.misses = self.subscribed or how != CACHED, 0
@@ -303,7 +364,7 @@
         if self.judging():
             self.jury.share(0, self.on_newest(appliance), 1, 0)
 
-    def hub(self) -> int:       # who adds up the counts at present: messages grow evenly with the agents
+    def hub(self) -> int:  # who adds up the counts at present: messages grow evenly with the agents
         return (self.stage.build * 31 + self.host.now // (2 * S)) % self.known["agents"]
 
     def on_message(self, sender: int, figures: list[int]) -> None:
@@ -338,7 +399,7 @@
         appliance, health = dispatch.appliance, dispatch.appliance.learned
         self.open, self.answered = self.open - 1, self.answered + (how == SUCCEEDED)
         health.note(how, 16)
-        if how == UNCONNECTED or (how == SUCCEEDED and not health.linked):      # what new connections come to
+        if how == UNCONNECTED or (how == SUCCEEDED and not health.linked):  # what new connections come to
             self.links[appliance.zone] = (self.links.get(appliance.zone, 0.0) * 7 + (how == UNCONNECTED)) / 8
         if how in (SUCCEEDED, ERROR, FULL, UNCONNECTED):
             health.linked = now * (how != UNCONNECTED)
@@ -349,7 +410,7 @@
             (out := self.keys_out[key, appliance.build]).remove(dispatch.sent)
             if not out:
                 del self.keys_out[key, appliance.build]
-        unread = how in (RESET, TIMEOUT, CANCELLED)     # guards against answers given but never read
+        unread = how in (RESET, TIMEOUT, CANCELLED)  # guards against answers given but never read
         if (how == SUCCEEDED or unread) and key and self.binds(appliance):
             self.bound_keys[key] = appliance.build
         if health.silences > 3 and now >= health.shut_until:
@@ -362,16 +423,16 @@
         # the bound on own open dispatches settles where one answer in eight is slow
         slo_time = dispatch.invocation.operation.slo_time
         crawled = self.crawling
-        if how in (SUCCEEDED, FULL):                # guards against lost answers being taken for overload
+        if how in (SUCCEEDED, FULL):  # guards against lost answers being taken for overload
             self.crawling = how == FULL or outcome.took > 0.3 * slo_time
-        late = outcome.took > 0.7 * slo_time and self.host.lag <= STALL     # clients in a hurry: no overload
+        late = outcome.took > 0.7 * slo_time and self.host.lag <= STALL  # clients in a hurry: no overload
         if appliance.zone == self.known["zone"]:
             self.strain += (late - self.strain) / 16
         if how == FULL or (late and (self.crawling or how != TIMEOUT)):
             least = max(0.1, 1.5 * len(self.fleet) / self.known["agents"])
             cut = min(14 / self.limit, 0.35 * self.limit) * (1.0 if crawled or how == FULL else SINGLE)
             self.limit = max(self.limit - cut, least)
-        elif self.open + 1 >= 0.7 * self.limit or self.limit < FEW:     # which few answers never test
+        elif self.open + 1 >= 0.7 * self.limit or self.limit < FEW:  # which few answers never test
             self.limit += min(2 / self.limit, 0.05 * self.limit)
         self.stir()
 
@@ -380,7 +441,7 @@
         load = load or ({"inflight": took / (50 * MS)} if probe else {})
         if "inflight" in load or "util" in load:
             health.load, health.load_at = load.get("inflight", 3 * load.get("util", 0.0)), self.host.now
-        elif "queue" in load:               # those in work by Little's law
+        elif "queue" in load:  # those in work by Little's law
             health.load = load["queue"] + load.get("rate", 0.0) * load.get("mean_ms", 0.0) / 1000
             health.load_at = self.host.now
         elif probe:
@@ -394,14 +455,14 @@
 
     # ---- pick: which appliance ---------------------------------------------------------------------------
     def cap_of(self, appliance: Appliance) -> float | None:
-        stage = self.stage      # the cap of a build on trial; None for one that is not
+        stage = self.stage  # the cap of a build on trial; None for one that is not
         if stage is None:
             return None if appliance.build <= self.lowest_build else 0.0
         if appliance.build > stage.build:
-            return (*self.known["caps"], 0.0)[0]    # not announced yet: as in its first stage
+            return (*self.known["caps"], 0.0)[0]  # not announced yet: as in its first stage
         if appliance.build < stage.build or stage.phase == RELEASED:
             return None
-        return stage.cap        # on the way back it falls to 0 only when earlier machines are there
+        return stage.cap  # on the way back it falls to 0 only when earlier machines are there
 
     def warmth(self, appliance: Appliance) -> float:
         age, warm_time = max(0, self.host.now - appliance.started), self.known["warm_time"]
@@ -419,7 +480,7 @@
             self.cold = [a for a in self.cold if a.state == READY and self.warmth(a) < 1.0]
             part = sum(a.weight * self.warmth(a) for a in self.cold) / self.places
             served = min(1.0, (self.answered + 2) / (self.asked + 2))
-            if self.credit >= 0:        # not spent at once: lapses, or all agents would save up for a burst
+            if self.credit >= 0:  # not spent at once: lapses, or all agents would save up for a burst
                 self.credit = self.chance.random() - 1
             most = min(2 - 0.5 * self.known["in_place"], self.known["fall_multiple"] * COLD)
             self.pace = part * served * most
@@ -434,9 +495,14 @@
         if not maybe or operation.effect == IDEMPOTENT:
             return True
         return operation.effect == FINGERPRINTED and all(
-            self.host.now < d.sent + operation.window - 50 * MS and {
-                "all": True, "zone": appliance.zone == d.appliance.zone,
-                "cell": appliance.cell == d.appliance.cell}[operation.group] for d in maybe)
+            self.host.now < d.sent + operation.window - 50 * MS
+            and {
+                "all": True,
+                "zone": appliance.zone == d.appliance.zone,
+                "cell": appliance.cell == d.appliance.cell,
+            }[operation.group]
+            for d in maybe
+        )
 
     def may_go(self, inv: Invocation, appliance: Appliance) -> bool:
         """The gate that no dispatch passes by: drains, shut ones, repeats, cold ones, exposure, keys."""
@@ -451,27 +517,40 @@
         """Exposure and keys."""
         stage, cap = self.stage, self.cap_of(appliance)
         if cap is None and self.forgot and inv.key and (stage is None or stage.phase == ON_TRIAL):
-            return False    # the trial may have answered it
-        if cap is None:     # once released, any key may have been answered: a late earlier machine gets none
-            over = self.known["one_way"] and inv.key and stage and (stage.phase == RELEASED or (
-                stage.phase == ON_TRIAL and self.host.now > UNREAD * inv.operation.slo_time + min(
-                    self.keys_out.get((inv.key, stage.build), ()), default=self.host.now)))
+            return False  # the trial may have answered it
+        if cap is None:  # once released, any key may have been answered: a late earlier machine gets none
+            over = (
+                self.known["one_way"]
+                and inv.key
+                and stage
+                and (
+                    stage.phase == RELEASED
+                    or (
+                        stage.phase == ON_TRIAL
+                        and self.host.now
+                        > UNREAD * inv.operation.slo_time
+                        + min(self.keys_out.get((inv.key, stage.build), ()), default=self.host.now)
+                    )
+                )
+            )
             return appliance.build >= (stage.build if over else self.bound_keys.get(inv.key, 0))
         number = stage.number if self.on_newest(appliance) else 0
         return self.exposures[inv.operation].room(self.host.now, cap) and (
-            inv.operation.effect == IDEMPOTENT or number >= self.known["guarded_stages"])
+            inv.operation.effect == IDEMPOTENT or number >= self.known["guarded_stages"]
+        )
 
     def busy(self, appliance: Appliance) -> float:
         health, now = appliance.learned, self.host.now
         load = max(health.open + 0.5, health.load if now - health.load_at < S else 0)
-        load += 4 * (health.heard < health.probed)          # guards against appliances that stand still
+        load += 4 * (health.heard < health.probed)  # guards against appliances that stand still
         load += 0.3 * (appliance.zone != self.known["zone"])
         return load * (1 + 4 * health.bad_share()) / max(appliance.weight * self.warmth(appliance), 0.01)
 
     def fits(self, inv: Invocation, appliance: Appliance, tried: list[Appliance]) -> bool:
-        health = appliance.learned          # silent to its latest probe while most are answered: seldom tried
+        health = appliance.learned  # silent to its latest probe while most are answered: seldom tried
         mute = health.heard < health.probed < self.host.now - 100 * MS and (
-            self.chance.random() < min(0.9, self.probes_answered))
+            self.chance.random() < min(0.9, self.probes_answered)
+        )
         return appliance not in tried and not mute and self.may_go(inv, appliance)
 
     def handy(self, side: list[Appliance]) -> list[Appliance]:
@@ -484,11 +563,14 @@
         linked = [a for a in near or side if 0 < a.learned.linked > now - idle]
         if self.known["connect_price"] > 0 and len(linked) >= ENOUGH and luck < STAY:
             return linked
-        return [a for a in near or side if 0 < a.learned.linked > now - idle
-                or luck >= min(0.9, 2 * self.links.get(a.zone, 0.0))]
+        return [
+            a
+            for a in near or side
+            if 0 < a.learned.linked > now - idle or luck >= min(0.9, 2 * self.links.get(a.zone, 0.0))
+        ]
 
     def draw(self, inv: Invocation, side: list[Appliance], tried: list[Appliance]) -> list[Appliance]:
-        found: list[Appliance] = []         # two random ones; the whole side is looked at only if none fits
+        found: list[Appliance] = []  # two random ones; the whole side is looked at only if none fits
         handy = self.handy(side)
         for appliance in self.chance.sample(handy, min(8, len(handy))):
             if len(found) < 2 and self.fits(inv, appliance, tried):
@@ -503,7 +585,7 @@
         tried, sides = [d.appliance for d in inv.dispatches], [self.earlier, self.trial]
         fair = self.stage and self.stage.phase == ON_TRIAL  # also after an own 'back': evidence grows
         part = sum(a.weight for a in self.trial if self.warmth(a) >= 1.0) / self.places
-        if fair and self.known["one_way"]:      # the cap holds in any short span, keys come in bursts
+        if fair and self.known["one_way"]:  # the cap holds in any short span, keys come in bursts
             part = min(part, FIT * self.stage.cap)
         # a key that the trial answers binds all that follow, which must fit its part: of the latest, how many
         bound, least = inv.key in self.bound_keys, len(self.recent) + 1
@@ -532,7 +614,7 @@
     # ---- votes -------------------------------------------------------------------------------------------
     def on_stage(self, stage: Stage) -> None:
         old, known = self.stage, self.known
-        if stage.answer not in (None, "ok"):        # a refused vote brings no news, whatever its fields say
+        if stage.answer not in (None, "ok"):  # a refused vote brings no news, whatever its fields say
             return None if stage.answer == MOOT else self.recast(self.vote, stage.answer == FULL)
         self.stage = stage
         self.regroup()
@@ -546,7 +628,7 @@
             self.vote, self.undecided_since, self.stage_since = None, 0, self.host.now - stage.age
             self.due = known["shares"][stage.number] * len(self.fleet if known["in_place"] else self.earlier)
             needed, agents = known["on_votes"] if known["control"] == "share" else 0, known["agents"]
-            enough = needed + 3 * (needed * max(0.0, 1 - needed / agents)) ** 0.5   # also by an unlucky draw
+            enough = needed + 3 * (needed * max(0.0, 1 - needed / agents)) ** 0.5  # also by an unlucky draw
             voters = max(known["vote_allowance"] * known["vote_life"] / S, enough)
             self.votes = self.chance.random() < voters / agents
             self.tend(stage)
@@ -625,10 +707,10 @@
         self.exposures[operation].take(host.now)
         if known["one_way"] and inv.key:
             self.recent.append(inv.key)
-        end = inv.expires - 2 * known["tick"]               # rule 1: the last moment for our answer
+        end = inv.expires - 2 * known["tick"]  # rule 1: the last moment for our answer
         useful = end if operation.late_value > 0 else min(end, inv.taken + operation.slo_time)
-        scarce = min(2.0, operation.billed_value / self.least_value)    # in overload, worth most goes first
-        part = self.chance.random()                         # chance stands for what is less than one dispatch
+        scarce = min(2.0, operation.billed_value / self.least_value)  # in overload, worth most goes first
+        part = self.chance.random()  # chance stands for what is less than one dispatch
         while True:
             # 1. a pair, or hold; overload is told by how long the oldest held one has waited
             held_until, pair = min(useful, host.now + operation.slo_time // 6), []
@@ -656,12 +738,13 @@
                 elif not known["may_duplicate"] and not inv.dispatches:
                     patience = (useful - host.now) * 9 // 10
             yield self.send(inv, min(pair, key=self.busy), patience, second_at)
-            while not inv.concluded and (inv.streaming or (
-                    host.now < end and any(d.ended is None for d in inv.dispatches))):
+            while not inv.concluded and (
+                inv.streaming or (host.now < end and any(d.ended is None for d in inv.dispatches))
+            ):
                 if host.now < second_at or inv.streaming:
                     yield Wait(second_at if host.now < second_at else None)
                     continue
-                if self.held or self.open >= 0.8 * self.limit:      # not now, perhaps a little later
+                if self.held or self.open >= 0.8 * self.limit:  # not now, perhaps a little later
                     second_at = host.now + operation.slo_time // 16 if host.now < useful else end
                     continue
                 second_at, tried = end, [d.appliance for d in inv.dispatches]
@@ -670,9 +753,13 @@
                     yield self.send(inv, place, end - host.now, end)
             # 3. again, if there is use in it: what has erred twice errs anywhere
             ended = [d.ended for d in inv.dispatches]
-            if inv.concluded or host.now >= useful - 20 * MS or ended.count(ERROR) > 1 or not self.may_retry(
-                    inv, 0.25 if ended[-1] in (ERROR, UNCONNECTED) else 1.0) or not any(
-                    self.may_repeat(inv, a) for a in self.fleet):
+            if (
+                inv.concluded
+                or host.now >= useful - 20 * MS
+                or ended.count(ERROR) > 1
+                or not self.may_retry(inv, 0.25 if ended[-1] in (ERROR, UNCONNECTED) else 1.0)
+                or not any(self.may_repeat(inv, a) for a in self.fleet)
+            ):
                 break
         if not inv.concluded:
             yield self.give_up(inv)
@@ -705,8 +792,12 @@
         exposure = self.exposures[inv.operation]
         exposure.drop(dispatch.learned)
         ready = place.state == READY and self.list_lease.holds(self.host.now)
-        may = not inv.concluded and not inv.streaming and ready and (
-            self.may_repeat(inv, place, dispatch) and self.may_meet(inv, place))
+        may = (
+            not inv.concluded
+            and not inv.streaming
+            and ready
+            and (self.may_repeat(inv, place, dispatch) and self.may_meet(inv, place))
+        )
         if may and self.cap_of(place) is not None:
             dispatch.learned = exposure.add(self.host.now)
         return may
@@ -714,7 +805,10 @@
     def give_up(self, inv: Invocation) -> Throttle | Terminate:
         """Throttled where that is true: nothing ran, or a repeat is harmless wherever it goes."""
         effect, everywhere = inv.operation.effect, inv.operation.group == "all"
-        harmless = effect == IDEMPOTENT or (effect == FINGERPRINTED and everywhere) or all(
-            d.ended in NEVER_RAN for d in inv.dispatches)
+        harmless = (
+            effect == IDEMPOTENT
+            or (effect == FINGERPRINTED and everywhere)
+            or all(d.ended in NEVER_RAN for d in inv.dispatches)
+        )
         advice = min(self.known["max_advice"], S) * self.known["may_advise"]
         return Throttle(advice) if harmless else Terminate()
--- a/cartweir/state.py
+++ b/cartweir/state.py
@@ -1,4 +1,5 @@
 """What one instance remembers: plain fields and counters, no decision and no tuned value."""
+
 from __future__ import annotations
 
 from bisect import bisect_left
@@ -8,8 +9,19 @@
 from itertools import accumulate
 from typing import Any
 
-from .interface import (CANCELLED, ERROR, FULL, MOOT, RESET, SUCCEEDED, TIMEOUT, UNCONNECTED, Appliance, Invocation,
-                        Stage)
+from .interface import (
+    CANCELLED,
+    ERROR,
+    FULL,
+    MOOT,
+    RESET,
+    SUCCEEDED,
+    TIMEOUT,
+    UNCONNECTED,
+    Appliance,
+    Invocation,
+    Stage,
+)
 
 
 class Histogram:
@@ -34,17 +46,18 @@
 @dataclass(eq=False)
 class Counts:
     """Of one stream of evidence: its block size, prior width and what came in."""
+
     block: int
     width: float
-    half: float = 0.5               # half a failure, as this stream counts
-    level: float = 0.0              # of an error by this agent alone
-    of: str = ""                    # whose answers it counts, and what in them
-    least: float = 3.0              # half failures of the trial from which on an open block counts
-    totals: list[float] = field(default_factory=lambda: [0.0] * 4)          # A, S, outcomes, failures
-    blocks: int = 0                 # closed ones
-    counts: list[float] = field(default_factory=lambda: [0, 0])             # of the open one: earlier, trial
+    half: float = 0.5  # half a failure, as this stream counts
+    level: float = 0.0  # of an error by this agent alone
+    of: str = ""  # whose answers it counts, and what in them
+    least: float = 3.0  # half failures of the trial from which on an open block counts
+    totals: list[float] = field(default_factory=lambda: [0.0] * 4)  # A, S, outcomes, failures
+    blocks: int = 0  # closed ones
+    counts: list[float] = field(default_factory=lambda: [0, 0])  # of the open one: earlier, trial
     failures: list[float] = field(default_factory=lambda: [0.0, 0.0])
-    kept: tuple[float, float] = (0, 0.0)                                    # earlier side of the last closed one
+    kept: tuple[float, float] = (0, 0.0)  # earlier side of the last closed one
 
     def __str__(self) -> str:
         sides = " against ".join(f"{self.failures[side]:.0f} of {self.counts[side]:.0f}" for side in (1, 0))
@@ -82,18 +95,19 @@
 @dataclass(eq=False, slots=True)
 class Notes:
     """On one appliance."""
-    open: int = 0                   # own dispatches out
-    good: float = 0.0               # recent outcomes, halved now and then
+
+    open: int = 0  # own dispatches out
+    good: float = 0.0  # recent outcomes, halved now and then
     bad: float = 0.0
     shut_until: int = 0
     strikes: int = 0
-    silences: int = 0               # silent ends since its last answer
-    load: float = 0.0               # as reported, with own dispatches since
+    silences: int = 0  # silent ends since its last answer
+    load: float = 0.0  # as reported, with own dispatches since
     load_at: int = 0
-    heard: int = 0                  # when it last answered
-    probed: int = 0                 # when it was last probed
-    told_in: tuple | None = None    # stage in which it was last counted against the time before
-    linked: int = 0                 # when it last showed an open connection; 0: none is known
+    heard: int = 0  # when it last answered
+    probed: int = 0  # when it was last probed
+    told_in: tuple | None = None  # stage in which it was last counted against the time before
+    linked: int = 0  # when it last showed an open connection; 0: none is known
 
     def note(self, how: str, most: int) -> None:
         """One of our dispatches has ended; at `most` outcomes the counts are halved."""
@@ -116,43 +130,44 @@
 @dataclass(eq=False)
 class Memory:
     """Of one instance."""
+
     host: Any
-    known: Mapping[str, Any]        # the settings
+    known: Mapping[str, Any]  # the settings
     chance: Any
-    fleet: list[Appliance] = field(default_factory=list)        # ready ones
-    trial: list[Appliance] = field(default_factory=list)        # of them: builds on trial
-    earlier: list[Appliance] = field(default_factory=list)      # the others
+    fleet: list[Appliance] = field(default_factory=list)  # ready ones
+    trial: list[Appliance] = field(default_factory=list)  # of them: builds on trial
+    earlier: list[Appliance] = field(default_factory=list)  # the others
     cold: list[Appliance] = field(default_factory=list)
-    lowest_build: int = 0           # of the ready ones
-    alone: bool = True              # no machine of an earlier build is left
-    places: float = 1.0             # weight of the machines that bear the usual traffic
+    lowest_build: int = 0  # of the ready ones
+    alone: bool = True  # no machine of an earlier build is left
+    places: float = 1.0  # weight of the machines that bear the usual traffic
     stage: Stage | None = None
     stage_since: int = 0
-    due: float = 0.0                # machines that the stage is to have
-    undecided_since: int = 0        # when evidence was first undecided in this stage
-    vote: tuple | None = None       # build, stage, verdict: standing or about to be cast
-    votes: bool = False             # this instance is one of the voters of the stage
+    due: float = 0.0  # machines that the stage is to have
+    undecided_since: int = 0  # when evidence was first undecided in this stage
+    vote: tuple | None = None  # build, stage, verdict: standing or about to be cast
+    votes: bool = False  # this instance is one of the voters of the stage
     may_recast: bool = False
-    cast_at: int = 0                # when it was last cast
+    cast_at: int = 0  # when it was last cast
     subscribed: bool = False
-    misses: int = 0                 # calls to discovery without an answer, since its last list
-    asks_at: int = 0                # when discovery is next asked, unless it tells something before
-    bound_keys: dict[str, int] = field(default_factory=dict)    # one-way keys -> newest build that answered
-    forgot: bool = False            # a life before this one may have bound others
-    recent: deque[str] = field(default_factory=lambda: deque(maxlen=128))       # one-way keys taken of late
-    pace: float = 0.0               # dispatches at cold machines that an invocation earns
-    owed: float = 0.0               # dispatches that the trial's part comes to, less those it got
-    keys_out: dict[tuple, list[int]] = field(default_factory=dict)      # key, build -> when what is out was sent
+    misses: int = 0  # calls to discovery without an answer, since its last list
+    asks_at: int = 0  # when discovery is next asked, unless it tells something before
+    bound_keys: dict[str, int] = field(default_factory=dict)  # one-way keys -> newest build that answered
+    forgot: bool = False  # a life before this one may have bound others
+    recent: deque[str] = field(default_factory=lambda: deque(maxlen=128))  # one-way keys taken of late
+    pace: float = 0.0  # dispatches at cold machines that an invocation earns
+    owed: float = 0.0  # dispatches that the trial's part comes to, less those it got
+    keys_out: dict[tuple, list[int]] = field(default_factory=dict)  # key, build -> when what is out was sent
     held: list[Invocation] = field(default_factory=list)
-    open: int = 0                   # own dispatches out
-    limit: float = 0.0              # and their bound
-    crawling: bool = False          # the latest answer was slow
+    open: int = 0  # own dispatches out
+    limit: float = 0.0  # and their bound
+    crawling: bool = False  # the latest answer was slow
     spare_retries: float = 0.0
-    links: dict[str, float] = field(default_factory=dict)       # zone -> share that got no connection of late
-    strain: float = 0.0             # share of late answers in the own zone of late
-    probes_answered: float = 1.0    # share of the latest
-    probes_tell: bool = True        # of a load
-    credit: float = 0.0             # dispatches earned at cold machines
-    asked: float = 0.0              # invocations taken, and succeeded; halved now and then
+    links: dict[str, float] = field(default_factory=dict)  # zone -> share that got no connection of late
+    strain: float = 0.0  # share of late answers in the own zone of late
+    probes_answered: float = 1.0  # share of the latest
+    probes_tell: bool = True  # of a load
+    credit: float = 0.0  # dispatches earned at cold machines
+    asked: float = 0.0  # invocations taken, and succeeded; halved now and then
     answered: float = 0.0
-    relay: Ledger = field(default_factory=Ledger)               # counts of others to be told
+    relay: Ledger = field(default_factory=Ledger)  # counts of others to be told
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,21 +1,66 @@
 """A scene: one instance with a printed trace of what it does, compared with the kept one."""
+
 from __future__ import annotations
 
 import os
 from pathlib import Path
 
 from cartweir.engine import Engine
-from cartweir.interface import (DRAINING, FINGERPRINTED, IDEMPOTENT, ON_TRIAL, RELEASED, SIDE_EFFECTING, SUCCEEDED,
-                                Appliance, Dispatch, Invocation, Operation, Outcome, Stage)
+from cartweir.interface import (
+    DRAINING,
+    FINGERPRINTED,
+    IDEMPOTENT,
+    ON_TRIAL,
+    RELEASED,
+    SIDE_EFFECTING,
+    SUCCEEDED,
+    Appliance,
+    Dispatch,
+    Invocation,
+    Operation,
+    Outcome,
+    Stage,
+)
 
 MS, S = 1_000, 1_000_000
 TRACES = Path(__file__).parent / "traces"
-KNOWN = dict(agents=1, me=0, zone="a", tick=5 * MS, may_cancel=True, may_probe=True, may_message=False,
-             may_duplicate=False, may_advise=True, max_advice=500 * MS, dispatch_limit=4, cold_share=0.4,
-             warm_time=5 * S, fall_multiple=4.0, fall_time=S, drain_grace=S, idle_time=30 * S, control="any", per_operation=False,
-             in_place=False, window=4 * S, free=1.0, caps=(0.1, 0.4, 1.0), shares=(0.1, 0.35, 1.0),
-             guarded_stages=0, one_way=False, on_votes=1, back_votes=1, vote_life=6 * S, vote_allowance=100.0, flag_share=0.0, tally_time=2 * S,
-             must_ask=False, probe_price=0.0, connect_price=0.0)
+KNOWN = dict(
+    agents=1,
+    me=0,
+    zone="a",
+    tick=5 * MS,
+    may_cancel=True,
+    may_probe=True,
+    may_message=False,
+    may_duplicate=False,
+    may_advise=True,
+    max_advice=500 * MS,
+    dispatch_limit=4,
+    cold_share=0.4,
+    warm_time=5 * S,
+    fall_multiple=4.0,
+    fall_time=S,
+    drain_grace=S,
+    idle_time=30 * S,
+    control="any",
+    per_operation=False,
+    in_place=False,
+    window=4 * S,
+    free=1.0,
+    caps=(0.1, 0.4, 1.0),
+    shares=(0.1, 0.35, 1.0),
+    guarded_stages=0,
+    one_way=False,
+    on_votes=1,
+    back_votes=1,
+    vote_life=6 * S,
+    vote_allowance=100.0,
+    flag_share=0.0,
+    tally_time=2 * S,
+    must_ask=False,
+    probe_price=0.0,
+    connect_price=0.0,
+)
 
 
 class Scene:
@@ -28,7 +73,9 @@
         self.order = Operation("order", FINGERPRINTED, "zone", 2 * S, slo_time=S, time_limit=3 * S)
         self.issue = Operation("issue", SIDE_EFFECTING, slo_time=S, time_limit=3 * S)
         self.engine = None
-        self.engine = Engine(0, seed, {**KNOWN, "operations": (self.draw, self.order, self.issue), **known}, self)
+        self.engine = Engine(
+            0, seed, {**KNOWN, "operations": (self.draw, self.order, self.issue), **known}, self
+        )
         self.agent, self.fleet, self.count = self.engine.agent, {}, 0
 
     # ---- the door ----
@@ -85,13 +132,17 @@
             self.engine.settle()
         self.engine.enter(time)
 
-    def list(self, *names: str, build: int = 1, started: int = 0, state: str = "ready", zone: str = "a") -> None:
+    def list(
+        self, *names: str, build: int = 1, started: int = 0, state: str = "ready", zone: str = "a"
+    ) -> None:
         for name in names:
             self.fleet.setdefault(name, Appliance(name, build, zone, started=started)).state = state
         self.agent.on_list("changes", [self.fleet[name] for name in names])
         self.engine.settle()
 
-    def stage(self, build: int, number: int, cap: float, phase: str = ON_TRIAL, answer: str | None = None) -> None:
+    def stage(
+        self, build: int, number: int, cap: float, phase: str = ON_TRIAL, answer: str | None = None
+    ) -> None:
         self.agent.on_stage(Stage(build, number, phase, cap, 0, answer))
         self.engine.settle()
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,11 +1,12 @@
 """Short printed traces of decisions; each is kept in traces/ and read by people."""
+
 import random
 
 import pytest
+from helpers import DRAINING, MS, S, Scene
 
 from cartweir.interface import CANCELLED, ERROR, FULL, GOING_BACK, RESET, TIMEOUT, UNCONNECTED, Tally
 from cartweir.window import WindowBudget
-from helpers import DRAINING, MS, S, Scene
 
 EARLIER, TRIAL = [f"old{n}" for n in range(8)], ["new0", "new1"]
 
@@ -22,7 +23,9 @@
 
 def test_bad_build_is_sent_back():
     scene = on_trial()
-    scene.traffic(8 * S, lambda d: ERROR if d.appliance.build == 2 and d.invocation.ident % 2 else "succeeded")
+    scene.traffic(
+        8 * S, lambda d: ERROR if d.appliance.build == 2 and d.invocation.ident % 2 else "succeeded"
+    )
     scene.matches("bad_build")
 
 
@@ -63,7 +66,9 @@
         scene.take(scene.issue)
         for dispatch in list(scene.out):
             scene.end(dispatch, ERROR if errs and dispatch.invocation.ident % 2 else "succeeded")
-    assert len(scene.agent.jury.judges) > 1 and not any("vote back" in line for line in scene.lines[errs[0]:])
+    assert len(scene.agent.jury.judges) > 1 and not any(
+        "vote back" in line for line in scene.lines[errs[0] :]
+    )
 
 
 def test_failing_machine_is_shut_and_its_build_stays():
@@ -138,7 +143,9 @@
     assert {d.appliance.ident for d in scene.out} == {"new0"}
 
 
-@pytest.mark.parametrize("how,bound", [(RESET, True), (TIMEOUT, True), (CANCELLED, True), (ERROR, False), (FULL, False)])
+@pytest.mark.parametrize(
+    "how,bound", [(RESET, True), (TIMEOUT, True), (CANCELLED, True), (ERROR, False), (FULL, False)]
+)
 def test_an_answer_that_was_given_and_not_read_binds_its_key(how, bound):
     """Guards against spoilt or lost answers: the newer build may have answered the key all the same."""
     scene = Scene(one_way=True, free=2.0)
@@ -168,7 +175,7 @@
     scene.take(scene.draw, key="k")
     scene.take(scene.draw, key="other")
     assert [d.invocation.key for d in scene.out] == ["k", "other"]
-    scene.end(scene.out[0], ERROR)              # now it is known that it was not answered there
+    scene.end(scene.out[0], ERROR)  # now it is known that it was not answered there
     assert [d.invocation.key for d in scene.out] == ["other", "k", "k"] and not scene.agent.bound_keys
 
 
@@ -187,7 +194,9 @@
             for dispatch in [d for d in scene.out if d.sent <= scene.engine.now - 50 * MS]:
                 at_trial += dispatch.appliance.build == 2
                 scene.end(dispatch)
-        throttled += sum(inv.concluded and not any(d.ended == "succeeded" for d in inv.dispatches) for inv in taken[:-10])
+        throttled += sum(
+            inv.concluded and not any(d.ended == "succeeded" for d in inv.dispatches) for inv in taken[:-10]
+        )
         asked += len(taken)
     assert throttled < 0.08 * asked and 0.2 * asked < at_trial < 0.4 * asked
 
@@ -242,7 +251,12 @@
     scene.list("a0", "a1")
     scene.list("b0", zone="b")
     scene.released()
-    for operation, how in ((scene.draw, ERROR), (scene.order, ERROR), (scene.issue, ERROR), (scene.issue, FULL)):
+    for operation, how in (
+        (scene.draw, ERROR),
+        (scene.order, ERROR),
+        (scene.issue, ERROR),
+        (scene.issue, FULL),
+    ):
         scene.take(operation)
         for outcome in (how, TIMEOUT):
             scene.pass_to(scene.engine.now + 100 * MS)
@@ -420,8 +434,11 @@
     while scene.engine.now < 12 * S:
         scene.pass_to(scene.engine.now + 20 * MS)
         scene.take(scene.draw)
-        for dispatch in [d for d in scene.out if d.sent <= scene.engine.now - (
-                400 if d.appliance.ident in slow else 50) * MS]:
+        for dispatch in [
+            d
+            for d in scene.out
+            if d.sent <= scene.engine.now - (400 if d.appliance.ident in slow else 50) * MS
+        ]:
             scene.end(dispatch)
     assert any("vote back" in line and "40/0.3" in line for line in scene.lines) is told
 
@@ -433,7 +450,7 @@
     scene.agent.on_flag(scene.draw, scene.fleet["new0"], S)
     assert scene.agent.jury.worst().margin() < 0
     scene.agent.jury.share(0, True, 0, 3)
-    assert scene.agent.jury.worst().margin() > 0            # one report in three answers, where several must agree
+    assert scene.agent.jury.worst().margin() > 0  # one report in three answers, where several must agree
     scene.agent.jury.share(0, True, 0, 30)
     assert scene.agent.jury.worst().margin() < 0
 
@@ -449,7 +466,7 @@
         return "succeeded" if sent[-1] else UNCONNECTED
 
     scene.traffic(6 * S, how)
-    assert sent.count(False) < 100              # 175 when any two of all were tried until shut
+    assert sent.count(False) < 100  # 175 when any two of all were tried until shut
 
 
 def test_the_own_zone_comes_first_until_it_is_strained():
@@ -612,8 +629,10 @@
                 exposure.take(now)
             room = exposure.room(now, cap)
             count = len(exposure.sends) + 1
-            assert room == all(count - i <= exposure.free + cap * (exposure.taken - send[1]) - 1e-9
-                               for i, send in enumerate(exposure.sends))
+            assert room == all(
+                count - i <= exposure.free + cap * (exposure.taken - send[1]) - 1e-9
+                for i, send in enumerate(exposure.sends)
+            )
             allowed, refused = allowed + room, refused + (not room)
             if room and chance.random() < 0.8:
                 exposure.add(now)
@@ -627,7 +646,14 @@
     for fleet in range(12):
         drawn = 0
         for me in range(216):
-            scene = Scene(fleet * 1000 + me, agents=216, on_votes=108, back_votes=32, vote_allowance=15.0, control="share")
+            scene = Scene(
+                fleet * 1000 + me,
+                agents=216,
+                on_votes=108,
+                back_votes=32,
+                vote_allowance=15.0,
+                control="share",
+            )
             scene.stage(2, 0, 0.1)
             drawn += scene.agent.votes
         assert 108 <= drawn < 160, drawn
@@ -672,15 +698,15 @@
     scene = Scene(one_way=True, free=2.0)
     scene.agent.recall({"known": 2}, True, True)
     scene.list(*EARLIER)
-    assert not scene.take(scene.draw, key="other").dispatches           # before any word of a stage
+    assert not scene.take(scene.draw, key="other").dispatches  # before any word of a stage
     scene.stage(2, 0, 0.2)
     scene.list(*TRIAL, build=2)
     for key in ("known", "other"):
         scene.take(scene.draw, key=key)
     scene.take(scene.draw)
-    assert [d.appliance.build for d in scene.out] == [1]                # the one without a key; no room at the trial yet
-    scene.pass_to(S)                                                    # those held were throttled
-    scene.stage(3, 0, 0.2)                                              # of another build nothing can have been bound
+    assert [d.appliance.build for d in scene.out] == [1]  # the one without a key; no room at the trial yet
+    scene.pass_to(S)  # those held were throttled
+    scene.stage(3, 0, 0.2)  # of another build nothing can have been bound
     scene.take(scene.draw, key="third")
     assert len(scene.out) == 2
 
