--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -1,4 +1,5 @@
 """The daemon: one agent on one loop, from checked settings to its end."""
+
 from __future__ import annotations
 
 import asyncio
@@ -33,8 +34,20 @@
 
 
 def operations_of(document: AgentDocument) -> tuple[Operation, ...]:
-    return tuple(Operation(name, o.effect, o.group, o.window, o.slo_time, o.time_limit, o.billed_value, o.late_value,
-                           o.stream) for name, o in document.operations.items())
+    return tuple(
+        Operation(
+            name,
+            o.effect,
+            o.group,
+            o.window,
+            o.slo_time,
+            o.time_limit,
+            o.billed_value,
+            o.late_value,
+            o.stream,
+        )
+        for name, o in document.operations.items()
+    )
 
 
 def limits_of(document: AgentDocument) -> Limits:
@@ -49,8 +62,18 @@
 def reach_of(document: AgentDocument, parts: int = 1) -> Reach:
     """parts: among which the connections to one appliance are divided."""
     agent, wire, reach = document.agent, document.wire, document.appliances
-    return Reach(agent.me, reach.connect_timeout, reach.probe_timeout, reach.idle_time, reach.streams,
-                 max(1, reach.connections // parts), wire.answer, wire.hold, 2 * agent.tick, limits_of(document))
+    return Reach(
+        agent.me,
+        reach.connect_timeout,
+        reach.probe_timeout,
+        reach.idle_time,
+        reach.streams,
+        max(1, reach.connections // parts),
+        wire.answer,
+        wire.hold,
+        2 * agent.tick,
+        limits_of(document),
+    )
 
 
 def methods_of(document: AgentDocument, operations: Mapping[str, Operation]) -> dict[bytes, Operation]:
@@ -62,8 +85,17 @@
     return Bounds(wire.connections, wire.streams, wire.window, wire.message, wire.header_list)
 
 
-def make_news(document: AgentDocument, seat: Seat, links: Any, now: Callable[[], int], note: Note, chance: random.Random,
-              limits: Limits, tap: Tap | None, stamps: Stamps | None = None) -> tuple[RegistryNews, ConveyorNews, Peers]:
+def make_news(
+    document: AgentDocument,
+    seat: Seat,
+    links: Any,
+    now: Callable[[], int],
+    note: Note,
+    chance: random.Random,
+    limits: Limits,
+    tap: Tap | None,
+    stamps: Stamps | None = None,
+) -> tuple[RegistryNews, ConveyorNews, Peers]:
     """links: whoever is to know the appliances' addresses."""
     agent, wire, conveyor = document.agent, document.wire, document.conveyor
     hello = pb.Hello(agent=agent.me, zone=agent.zone)
@@ -75,13 +107,40 @@
         return Waits(wire.reconnect_least, wire.reconnect_most, chance)
 
     registry = RegistryNews(
-        seat, links, channel(document.registry.address), hello, document.registry.mode == "push",
-        document.registry.call_timeout, waits(), now, note, agent.list_file,
-        ListFilter(document.registry.drop_share, document.registry.hold_time))
-    return (registry, ConveyorNews(seat, [channel(address) for address in conveyor.address], hello, conveyor.vote_timeout,
-                                   conveyor.silence, waits(), note, now, stamps or Stamps(agent.stage_file, note), chance),
-            Peers(seat, agent.me, {number: channel(address) for number, address in document.peers.items()
-                                   if number != agent.me}, conveyor.vote_timeout, note))
+        seat,
+        links,
+        channel(document.registry.address),
+        hello,
+        document.registry.mode == "push",
+        document.registry.call_timeout,
+        waits(),
+        now,
+        note,
+        agent.list_file,
+        ListFilter(document.registry.drop_share, document.registry.hold_time),
+    )
+    return (
+        registry,
+        ConveyorNews(
+            seat,
+            [channel(address) for address in conveyor.address],
+            hello,
+            conveyor.vote_timeout,
+            conveyor.silence,
+            waits(),
+            note,
+            now,
+            stamps or Stamps(agent.stage_file, note),
+            chance,
+        ),
+        Peers(
+            seat,
+            agent.me,
+            {number: channel(address) for number, address in document.peers.items() if number != agent.me},
+            conveyor.vote_timeout,
+            note,
+        ),
+    )
 
 
 class Daemon:
@@ -96,23 +155,41 @@
         limits = limits_of(document)
         self.links = Links(reach_of(document), self.clock.now, self.note, tap)
         self.alarms = Alarms(self.loop, self.clock.now, lambda: self.seat.alarm())
-        self._to_say: list[Callable[[], None]] = []     # wishes of the decisions before there is whom to tell
+        self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
         self.registry: RegistryNews | None = None
         known = {**document.decision_settings(), "operations": operations_of(document)}
         self.seat = self.links.seat = Seat(self, known, seed)
         stamps = Stamps(agent.stage_file, self.note)
         self.keep: Keep | None = None
         if agent.facts_file is not None:
-            self.keep = Keep(agent.facts_file, owner_of(document), stamps.fence.seen, self.note, agent.facts_most)
+            self.keep = Keep(
+                agent.facts_file, owner_of(document), stamps.fence.seen, self.note, agent.facts_most
+            )
             self.seat.recall(self.keep.recalled)
             stamps.on_follow = self.keep.decided
         self.registry, self.conveyor, self.peers = make_news(
-            document, self.seat, self.links, self.clock.now, self.note, self.chance, limits, tap, stamps)
-        self.front = Front(self.seat, methods_of(document, self.seat.operations), bounds_of(document), self.clock, self.note,
-                           {TELL: self.peers.heard} if document.allowed.may_message else {}, tap)
+            document, self.seat, self.links, self.clock.now, self.note, self.chance, limits, tap, stamps
+        )
+        self.front = Front(
+            self.seat,
+            methods_of(document, self.seat.operations),
+            bounds_of(document),
+            self.clock,
+            self.note,
+            {TELL: self.peers.heard} if document.allowed.may_message else {},
+            tap,
+        )
         self.ended = asyncio.Event()
-        self.ending = Ending(self.clock.now, agent.tick, agent.drain_time, self.front, lambda: len(self.seat.calls),
-                             self.seat.give_up_all, self._end, self.note)
+        self.ending = Ending(
+            self.clock.now,
+            agent.tick,
+            agent.drain_time,
+            self.front,
+            lambda: len(self.seat.calls),
+            self.seat.give_up_all,
+            self._end,
+            self.note,
+        )
 
     # ---- the World ----
     def now(self) -> int:
@@ -136,7 +213,7 @@
         self.conveyor.vote(build, stage, verdict)
 
     def subscribe(self) -> None:
-        if self.registry is None:           # asked for in the module's own first moment
+        if self.registry is None:  # asked for in the module's own first moment
             self._to_say.append(self.subscribe)
         else:
             self.registry.subscribe()
@@ -187,19 +264,33 @@
     """An exception that nobody was there for: logged with its place, and the agent goes on."""
     error = context.get("exception")
     where = traceback.extract_tb(error.__traceback__)[-1] if error and error.__traceback__ else None
-    note("internal_error", level="error", what=context.get("message"), error=repr(error),
-         where=f"{where.name}:{where.lineno}" if where else None)
+    note(
+        "internal_error",
+        level="error",
+        what=context.get("message"),
+        error=repr(error),
+        where=f"{where.name}:{where.lineno}" if where else None,
+    )
 
 
 def make_log(form: str, level: str, **bound: Any) -> Any:
     """A structlog logger on standard error: lines for people, or JSON."""
-    render = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(
-        colors=sys.stderr.isatty(), pad_event_to=16)
+    render = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), pad_event_to=16)
+    )
     names = {"debug": 10, "info": 20, "warning": 30, "error": 40}
     return structlog.wrap_logger(
-        structlog.WriteLogger(sys.stderr), wrapper_class=structlog.make_filtering_bound_logger(names[level]),
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True), render],
-        **bound)
+        structlog.WriteLogger(sys.stderr),
+        wrapper_class=structlog.make_filtering_bound_logger(names[level]),
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            render,
+        ],
+        **bound,
+    )
 
 
 async def run(document: AgentDocument, tap: Tap | None = None) -> None:
--- a/cartweir/agent/front.py
+++ b/cartweir/agent/front.py
@@ -1,4 +1,5 @@
 """The clients' side: accepts connections, makes a whole call into an invocation, gives it its one answer."""
+
 from __future__ import annotations
 
 import errno
@@ -35,8 +36,16 @@
     """Listens on one address. `aside`: handlers of our own methods (peers' messages), by path, each called with
     the message; its answer is empty."""
 
-    def __init__(self, seat: Seat, methods: Mapping[bytes, Operation], bounds: Bounds, clock: Clock, note: Note,
-                 aside: Mapping[bytes, Callable[[bytes], None]], tap: Tap | None = None) -> None:
+    def __init__(
+        self,
+        seat: Seat,
+        methods: Mapping[bytes, Operation],
+        bounds: Bounds,
+        clock: Clock,
+        note: Note,
+        aside: Mapping[bytes, Callable[[bytes], None]],
+        tap: Tap | None = None,
+    ) -> None:
         self.seat, self.methods, self.bounds, self.clock, self.note = seat, methods, bounds, clock, note
         self.aside, self.tap = aside, tap
         self.links: set[Link] = set()
@@ -47,8 +56,8 @@
         self._looking = self._resting = self._full = False
         self._owed: list[ClientCall] = []
         self._loop = IOLoop.current()
-        self._short = False                 # of file descriptors
-        self._over = False                  # the bound on connections
+        self._short = False  # of file descriptors
+        self._over = False  # the bound on connections
 
     # ---- listening ----
     def listen(self, address: str) -> str:
@@ -90,7 +99,7 @@
         self._look_out()
 
     def _accept_now(self, sock: socket.socket) -> None:
-        for _ in range(self._at_once):      # a turn is shared with those that are connected
+        for _ in range(self._at_once):  # a turn is shared with those that are connected
             try:
                 connection, _ = sock.accept()
             except BlockingIOError:
@@ -109,8 +118,13 @@
         being woken for them without end."""
         if not self._short:
             self._short = True
-            self.note("accept_short", level="error", reason=error.strerror, connections=len(self.links),
-                      due="a higher limit on open files (ulimit -n), or fewer connections")
+            self.note(
+                "accept_short",
+                level="error",
+                reason=error.strerror,
+                connections=len(self.links),
+                due="a higher limit on open files (ulimit -n), or fewer connections",
+            )
         self._resting = True
         self._look_away()
         self._loop.call_later(self.clock.heartbeat / 1e6, self._rested)
@@ -128,13 +142,15 @@
             return
         if self._after is not None and len(self.links) + 1 >= self.bounds.connections:
             self.note("connections_full", level="warning", connections=len(self.links) + 1)
-            self._full = True               # others may have room
+            self._full = True  # others may have room
             self._look_away()
         if self._short:
             self._short = False
             self.note("accept_again", connections=len(self.links))
         owner = ClientLink(self, *queued(connection))
-        owner.link = Link(LinkStream(connection, max_buffer_size=256 * 1024), False, self.bounds.limits, owner, self.tap)
+        owner.link = Link(
+            LinkStream(connection, max_buffer_size=256 * 1024), False, self.bounds.limits, owner, self.tap
+        )
         self.links.add(owner.link)
 
     def lost(self, link: Link, why: str) -> None:
@@ -204,7 +220,18 @@
 class ClientCall:
     """One call of a client, from its headers to its one answer."""
 
-    __slots__ = ("front", "stream", "asked", "arrived", "body", "walk", "inv", "source", "_granted", "_answered")
+    __slots__ = (
+        "front",
+        "stream",
+        "asked",
+        "arrived",
+        "body",
+        "walk",
+        "inv",
+        "source",
+        "_granted",
+        "_answered",
+    )
 
     def __init__(self, front: Front, stream: Stream, headers: Headers) -> None:
         self.front, self.stream = front, stream
@@ -212,8 +239,8 @@
         self.body: list[bytes] = []
         self.walk = BodyWalk(front.bounds.message)
         self.inv: Invocation | None = None
-        self.source: Stream | None = None       # the appliance's stream that is passed on
-        self._granted = 0                       # bytes under way to the client that it was granted room for already
+        self.source: Stream | None = None  # the appliance's stream that is passed on
+        self._granted = 0  # bytes under way to the client that it was granted room for already
         self._answered = False
         self.asked: names.Asked | None = None
         try:
@@ -227,7 +254,9 @@
             stream.send_headers([(b":status", b"415")], end=True)
             stream.reset(ErrorCodes.NO_ERROR)
         elif self.asked.path not in front.methods and self.asked.path not in front.aside:
-            self.refuse(Status.UNIMPLEMENTED, f"no operation has the method {self.asked.path.decode('latin-1')}")
+            self.refuse(
+                Status.UNIMPLEMENTED, f"no operation has the method {self.asked.path.decode('latin-1')}"
+            )
 
     # ---- the request ----
     def on_headers(self, stream: Stream, headers: Headers) -> None:
@@ -240,7 +269,9 @@
         try:
             self.walk.feed(data)
         except Malformed as error:
-            self.refuse(Status.RESOURCE_EXHAUSTED if "the most" in str(error) else Status.INTERNAL, str(error))
+            self.refuse(
+                Status.RESOURCE_EXHAUSTED if "the most" in str(error) else Status.INTERNAL, str(error)
+            )
             return
         self.body.append(data)
 
@@ -248,8 +279,11 @@
         if self._answered:
             return
         if not self.walk.whole or self.walk.messages != 1:
-            self.refuse(Status.INTERNAL, f"the request has {self.walk.messages} whole messages"
-                        f"{'' if self.walk.whole else ' and a part'}, where one is due")
+            self.refuse(
+                Status.INTERNAL,
+                f"the request has {self.walk.messages} whole messages"
+                f"{'' if self.walk.whole else ' and a part'}, where one is due",
+            )
             return
         asked, front = self.asked, self.front
         if (handle := front.aside.get(asked.path)) is not None:
@@ -268,8 +302,17 @@
             return
         operation = front.methods[asked.path]
         limit = operation.time_limit if asked.timeout is None else asked.timeout
-        self.inv = front.seat.take(self, operation, self.arrived, limit, customer=asked.customer, key=asked.key,
-                                   hint=asked.hint, retry=asked.retry, write=asked.write)
+        self.inv = front.seat.take(
+            self,
+            operation,
+            self.arrived,
+            limit,
+            customer=asked.customer,
+            key=asked.key,
+            hint=asked.hint,
+            retry=asked.retry,
+            write=asked.write,
+        )
 
     def on_gone(self, stream: Stream, how: str, code: int) -> None:
         """The client has left."""
@@ -290,7 +333,7 @@
         self.body = []
         self.stream.send_headers(names.refused(status, text), end=True)
         if not self.stream.heard_all:
-            self.stream.reset(ErrorCodes.NO_ERROR)      # the rest of the request is not wanted
+            self.stream.reset(ErrorCodes.NO_ERROR)  # the rest of the request is not wanted
 
     def begin(self, source: Stream, head: Headers, body: list[bytes]) -> None:
         """Pass on what there is of an answer; what follows comes by data(). The source is granted room as the
--- a/cartweir/agent/keep.py
+++ b/cartweir/agent/keep.py
@@ -1,5 +1,6 @@
 """An agent's facts on its disk: read at the start, added to before each dispatch that may bind a key, by one process at a
 time. What the bytes mean is decided in fleet/key_journal.py."""
+
 from __future__ import annotations
 
 import contextlib
@@ -48,7 +49,9 @@
         except OSError:
             if time.monotonic() >= end:
                 held.close()
-                raise InUse(f"{path} is in use by another process: a file of its own is due for each agent") from None
+                raise InUse(
+                    f"{path} is in use by another process: a file of its own is due for each agent"
+                ) from None
             time.sleep(0.01)
 
 
@@ -56,15 +59,21 @@
     """most: bytes of the file, beyond which the older half of the keys is left out. held: the lock, where another has taken it.
     Raises InUse."""
 
-    def __init__(self, path: str, owner: str, token: FencingToken, note: Note, most: int, held: IO[str] | None = None) -> None:
+    def __init__(
+        self, path: str, owner: str, token: FencingToken, note: Note, most: int, held: IO[str] | None = None
+    ) -> None:
         self.path, self.note, self.most = Path(path), note, most
         self._lock = held or lock(path)
         boot = BOOT.read_text().strip() if BOOT.exists() else ""
         data = self.path.read_bytes() if self.path.exists() else None
         self.recalled = read_journal(data, owner, boot, token)
         if data is not None or self.recalled.spent:
-            self.note("facts", keys=len(self.recalled.bound), forgot=self.recalled.forgot,
-                      level="warning" if self.recalled.forgot else "info")
+            self.note(
+                "facts",
+                keys=len(self.recalled.bound),
+                forgot=self.recalled.forgot,
+                level="warning" if self.recalled.forgot else "info",
+            )
         self._head = JournalHeader(owner, boot, token, self.recalled.missing)
         self._bound = dict(self.recalled.bound)
         self._file, self._count, self._size, self._failing = -1, 0, 0, False
@@ -77,7 +86,7 @@
             self._bound, missing = apply_decision(self._bound, self._head.missing, build)
             self._head = replace(self._head, token=token, missing=missing)
             if self._failing:
-                self._anew()                # the disk may have room again
+                self._anew()  # the disk may have room again
             else:
                 self._add(encode_decision(token, build))
 
@@ -110,7 +119,7 @@
         part, file = self.path.with_name(self.path.name + ".part"), -1
         try:
             file = os.open(part, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
-            _put(file, data, 0)             # not synced, which would hold up the loop: another boot is told apart
+            _put(file, data, 0)  # not synced, which would hold up the loop: another boot is told apart
             os.replace(part, self.path)
         except OSError as error:
             if file >= 0:
--- a/cartweir/agent/links.py
+++ b/cartweir/agent/links.py
@@ -1,4 +1,5 @@
 """The appliances' side: connections to each, and the attempts and probes that run on them."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -29,15 +30,16 @@
 @dataclass(frozen=True, slots=True)
 class Reach:
     """How appliances are reached; times in microseconds, sizes in bytes."""
+
     me: int
     connect_timeout: int
     probe_timeout: int
     idle_time: int
     streams: int
     connections: int
-    answer: int                     # largest message of an answer
-    hold: int                       # an answer is held back up to this size
-    margin: int                     # before the client's time is up, a begun answer is broken off
+    answer: int  # largest message of an answer
+    hold: int  # an answer is held back up to this size
+    margin: int  # before the client's time is up, a begun answer is broken off
     limits: Limits
 
 
@@ -48,7 +50,7 @@
         super().__init__(lambda address: Pool(self, address))
         self.reach, self.now, self.note, self.tap = reach, now, note, tap
         self.loop = IOLoop.current()
-        self.seat: Seat | None = None       # set once the seat is there
+        self.seat: Seat | None = None  # set once the seat is there
 
     def start(self, dispatch: Dispatch, call: ClientCall) -> Attempt:
         attempt = Attempt(self, dispatch, call)
@@ -104,7 +106,10 @@
             elif goes is not None:
                 sent.unsent()
         streams, busy = self.links.reach.streams, sum(not link.suspect for link in self.open)
-        while len(self._waiting) > self._opening * streams and busy + self._opening < self.links.reach.connections:
+        while (
+            len(self._waiting) > self._opening * streams
+            and busy + self._opening < self.links.reach.connections
+        ):
             self._opening += 1
             spawn(self._connect())
 
@@ -166,8 +171,8 @@
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
-        self.settled = False                # the other side's settings have come
-        self.suspect = False                # carries what it has, and nothing new
+        self.settled = False  # the other side's settings have come
+        self.suspect = False  # carries what it has, and nothing new
         self._used = pool.links.now()
         self._timer: Any = None
         self._pings = 0
@@ -179,7 +184,7 @@
 
     # ---- the link's owner ----
     def on_stream(self, stream: Stream, headers: Headers) -> None:
-        stream.reset()                      # an appliance opens none
+        stream.reset()  # an appliance opens none
 
     def on_settled(self) -> None:
         if not self.settled:
@@ -205,7 +210,7 @@
         if self.settled:
             self.pool.lost(self)
         else:
-            self.settled = True             # it counts no more
+            self.settled = True  # it counts no more
             self.pool.never_settled(why)
 
     # ---- use ----
@@ -224,7 +229,9 @@
         self._pings += 1
         payload = self._pings.to_bytes(8, "big")
         self.link.session.ping(payload)
-        self.pool.links.loop.call_later(self.pool.links.reach.connect_timeout / 1e6, self._unanswered, payload)
+        self.pool.links.loop.call_later(
+            self.pool.links.reach.connect_timeout / 1e6, self._unanswered, payload
+        )
 
     def _unanswered(self, payload: bytes) -> None:
         if self.link.closed or self.suspect:
@@ -261,7 +268,7 @@
         self.over = False
         self.stream: Stream | None = None
         self._link: ApplianceLink | None = None
-        self._pool: Pool | None = None      # in which it waits for a connection
+        self._pool: Pool | None = None  # in which it waits for a connection
         self._timer: Any = None
         self.began = links.now()
 
@@ -350,9 +357,15 @@
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
         inv, asked = self.dispatch.invocation, self.call.asked
         return grpc.request_headers(
-            asked.path, self.links.addresses.get(self.dispatch.appliance.ident, "").encode(), left,
-            [*asked.metadata, (names.AGENT_HEADER, b"%d" % self.links.reach.me),
-             (names.DISPATCH_HEADER, b"%d.%d" % (inv.ident, self.dispatch.number))])
+            asked.path,
+            self.links.addresses.get(self.dispatch.appliance.ident, "").encode(),
+            left,
+            [
+                *asked.metadata,
+                (names.AGENT_HEADER, b"%d" % self.links.reach.me),
+                (names.DISPATCH_HEADER, b"%d.%d" % (inv.ident, self.dispatch.number)),
+            ],
+        )
 
     def still_goes(self) -> bool | None:
         return self.links.seat.leaves(self.dispatch)
@@ -382,7 +395,7 @@
             self._end(ours.ERROR)
             return
         if self.passing:
-            self.call.data(data)            # granted anew as the client takes it
+            self.call.data(data)  # granted anew as the client takes it
             return
         stream.taken(len(data))
         self.body.append(data)
@@ -392,7 +405,7 @@
 
     def _pass_on(self) -> None:
         if not self.links.seat.begun(self.dispatch):
-            self.stream.reset()             # another attempt's answer is being passed on
+            self.stream.reset()  # another attempt's answer is being passed on
             self._end(ours.CANCELLED)
             return
         self.passing = True
@@ -405,7 +418,7 @@
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
         if not stream.said_all:
-            stream.reset(0)                 # answered before it had read the whole request
+            stream.reset(0)  # answered before it had read the whole request
         how = names.outcome_of(self.head, trailers, self.walk.whole)
         answer = None if self.passing or how != ours.SUCCEEDED else (self.head, self.body, trailers)
         if self.passing and how == ours.SUCCEEDED:
@@ -438,8 +451,12 @@
         self.body = bytearray()
 
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
-        return grpc.request_headers(PROBE, self.links.addresses.get(self.appliance.ident, "").encode(), left,
-                                    [(names.AGENT_HEADER, b"%d" % self.links.reach.me)])
+        return grpc.request_headers(
+            PROBE,
+            self.links.addresses.get(self.appliance.ident, "").encode(),
+            left,
+            [(names.AGENT_HEADER, b"%d" % self.links.reach.me)],
+        )
 
     def send_body(self) -> None:
         self.stream.send_data(grpc.frame(health_pb2.HealthCheckRequest().SerializeToString()), end=True)
--- a/cartweir/agent/names.py
+++ b/cartweir/agent/names.py
@@ -2,6 +2,7 @@
 
 Translation alone: what follows from it is decided in logic.py.
 """
+
 from __future__ import annotations
 
 from collections.abc import Mapping
@@ -26,8 +27,17 @@
 
 # Statuses by which an appliance says that it could not do the work though it may have begun. All others are
 # answers to the client: the work was done, or it was found that it must not be.
-ERRORS = frozenset((Status.UNKNOWN, Status.INTERNAL, Status.UNAVAILABLE, Status.DATA_LOSS, Status.CANCELLED,
-                    Status.DEADLINE_EXCEEDED, Status.RESOURCE_EXHAUSTED))
+ERRORS = frozenset(
+    (
+        Status.UNKNOWN,
+        Status.INTERNAL,
+        Status.UNAVAILABLE,
+        Status.DATA_LOSS,
+        Status.CANCELLED,
+        Status.DEADLINE_EXCEEDED,
+        Status.RESOURCE_EXHAUSTED,
+    )
+)
 GONE = {RESET: ours.ERROR, REFUSED: ours.FULL, UNSEEN: ours.UNCONNECTED, LOST: ours.RESET}
 ANSWERS = {0: "ok", 1: "moot", 2: "full", 3: "error"}
 PHASES = (ours.ON_TRIAL, ours.GOING_BACK, ours.RELEASED, ours.WITHDRAWN)
@@ -41,6 +51,7 @@
 @dataclass(slots=True)
 class Asked:
     """What the headers of a call say; times in microseconds."""
+
     path: bytes
     timeout: int | None
     content_type: bytes
@@ -66,12 +77,14 @@
     if found.get(b":method") != b"POST":
         raise Malformed("method is not POST")
     timeout = found.get(b"grpc-timeout")
-    asked = Asked(found.get(b":path", b""), None if timeout is None else grpc.decode_timeout(timeout), kind, metadata)
+    asked = Asked(
+        found.get(b":path", b""), None if timeout is None else grpc.decode_timeout(timeout), kind, metadata
+    )
     asked.customer = found.get(CUSTOMER, b"").decode("latin-1")
     if (key := found.get(KEY)) is not None:
         asked.key = key.decode("latin-1")
     if (work := found.get(WORK)) is not None:
-        asked.hint = grpc.decode_timeout(work)      # written like grpc-timeout: 120m is 120 ms
+        asked.hint = grpc.decode_timeout(work)  # written like grpc-timeout: 120m is 120 ms
     asked.retry = found.get(RETRY) == b"1" or found.get(grpc.ATTEMPTS, b"0") not in (b"0", b"")
     asked.write = found.get(WRITE) == b"1"
     return asked
@@ -83,7 +96,7 @@
     if status is None or not whole:
         return ours.ERROR
     if status == Status.RESOURCE_EXHAUSTED and not head:
-        return ours.FULL                # trailers alone: turned away before any work
+        return ours.FULL  # trailers alone: turned away before any work
     return ours.ERROR if status in ERRORS else ours.SUCCEEDED
 
 
@@ -97,7 +110,11 @@
         report.ParseFromString(grpc.decode_binary(value))
     except (Malformed, DecodeError):
         return None
-    load = {name: report.named_metrics[name] for name in ("inflight", "queue", "mean_ms") if name in report.named_metrics}
+    load = {
+        name: report.named_metrics[name]
+        for name in ("inflight", "queue", "mean_ms")
+        if name in report.named_metrics
+    }
     if report.rps_fractional > 0:
         load["rate"] = report.rps_fractional
     if report.cpu_utilization > 0:
@@ -108,8 +125,10 @@
 def throttled(retry_after: int) -> list[tuple[bytes, bytes]]:
     """The trailers-only answer that says that trying again is harmless; advice in microseconds, 0 for none."""
     advice = [(grpc.PUSHBACK, b"%d" % max(1, retry_after // 1000))] if retry_after else []
-    return [*grpc.answer_headers(), *grpc.trailers(Status.RESOURCE_EXHAUSTED, "throttled",
-                                                   [(ANSWER, b"throttled"), *advice])]
+    return [
+        *grpc.answer_headers(),
+        *grpc.trailers(Status.RESOURCE_EXHAUSTED, "throttled", [(ANSWER, b"throttled"), *advice]),
+    ]
 
 
 def terminated(begun: bool = False) -> list[tuple[bytes, bytes]]:
--- a/cartweir/agent/news.py
+++ b/cartweir/agent/news.py
@@ -1,5 +1,6 @@
 """What an agent is told: the list of appliances, stages and reports of the conveyor, messages of its peers; and
 what it says to them: votes and messages. Each connection is kept up with waits that double and are spread out."""
+
 from __future__ import annotations
 
 import asyncio
@@ -48,14 +49,26 @@
 class RegistryNews:
     """The list. push: a watch is always wanted; ask: whenever the decisions ask."""
 
-    def __init__(self, seat: Seat, links: Links, channel: Channel, hello: pb.Hello, push: bool, timeout: int,
-                 waits: Waits, now: Callable[[], int], note: Note, list_file: str | None, lists: ListFilter) -> None:
+    def __init__(
+        self,
+        seat: Seat,
+        links: Links,
+        channel: Channel,
+        hello: pb.Hello,
+        push: bool,
+        timeout: int,
+        waits: Waits,
+        now: Callable[[], int],
+        note: Note,
+        list_file: str | None,
+        lists: ListFilter,
+    ) -> None:
         self.seat, self.links, self.channel, self.hello, self.lists = seat, links, channel, hello, lists
         self.push, self.timeout, self.waits, self.now, self.note = push, timeout, waits, now, note
         self.file = Path(list_file) if list_file else None
         self._watch: asyncio.Task | None = None
         self._entries: dict[str, pb.Entry] = {}
-        self._started: dict[tuple[str, int], int] = {}      # by appliance and run: when, on our clock
+        self._started: dict[tuple[str, int], int] = {}  # by appliance and run: when, on our clock
         self._lost = self._late = False
         self._to_keep: str | None = None
         self._keeping: asyncio.Task | None = None
@@ -82,8 +95,13 @@
         """Written by a thread, as the disk may take its time; the newest list waits for the one under way."""
         if self.file is None:
             return
-        text = json.dumps({"incarnation": self.lists.seen.incarnation, "version": version, "entries": [
-            entry.SerializeToString().hex() for entry in self._entries.values()]})
+        text = json.dumps(
+            {
+                "incarnation": self.lists.seen.incarnation,
+                "version": version,
+                "entries": [entry.SerializeToString().hex() for entry in self._entries.values()],
+            }
+        )
         self._to_keep = text
         if self._keeping is None or self._keeping.done():
             self._keeping = spawn(self._keep_all())
@@ -104,7 +122,9 @@
     def _hello(self) -> bytes:
         """With the list held, so that a registry that knows it need not tell the whole one."""
         held = self.lists.seen if self._entries else NO_LIST
-        return pb.Hello(agent=self.hello.agent, zone=self.hello.zone, incarnation=held.incarnation, version=held.number).SerializeToString()
+        return pb.Hello(
+            agent=self.hello.agent, zone=self.hello.zone, incarnation=held.incarnation, version=held.number
+        ).SerializeToString()
 
     async def _watching(self) -> None:
         while True:
@@ -130,7 +150,9 @@
             if not self.push:
                 self.seat.listed("failed")
                 return
-            if asyncio.current_task().cancelling():     # wait_for may swallow the word to end, and the process stayed
+            if (
+                asyncio.current_task().cancelling()
+            ):  # wait_for may swallow the word to end, and the process stayed
                 return
             await asyncio.sleep(max(self.waits.again(), advice / 1e6))
 
@@ -148,7 +170,10 @@
     # ---- what it says ----
     def _listing(self, message: bytes) -> None:
         listing = pb.Listing.FromString(message)
-        version, names = ListVersion(listing.incarnation, listing.version), [entry.appliance for entry in listing.entries]
+        version, names = (
+            ListVersion(listing.incarnation, listing.version),
+            [entry.appliance for entry in listing.entries],
+        )
         entries = list(listing.entries)
         if listing.whole:
             in_use = [n for n, e in self._entries.items() if e.state == pb.READY]
@@ -159,7 +184,13 @@
         if not decision.follow:
             if not self._late:
                 self._late = True
-                self.note("list_late", level="warning", life=version.incarnation, version=version.number, seen=tuple(self.lists.seen))
+                self.note(
+                    "list_late",
+                    level="warning",
+                    life=version.incarnation,
+                    version=version.number,
+                    seen=tuple(self.lists.seen),
+                )
             raise CallError(Status.FAILED_PRECONDITION, "an older list than one that was seen")
         self._late = False
         if decision.retained:
@@ -179,7 +210,9 @@
 
     def _let_go(self) -> None:
         """What no list has named for long enough is gone."""
-        gone = [self._entries[ident] for ident in self.lists.take_expired(self.now()) if ident in self._entries]
+        gone = [
+            self._entries[ident] for ident in self.lists.take_expired(self.now()) if ident in self._entries
+        ]
         for entry in gone:
             entry.state = pb.GONE
         if gone:
@@ -198,12 +231,26 @@
                 self._started[mark] = max(1, now - entry.age) if entry.age else 0
             self._entries[entry.appliance] = entry
             self.links.addresses[entry.appliance] = entry.address
-            rows.append(Row(entry.appliance, entry.build, entry.run, self._started[mark], STATES[min(entry.state, pb.GONE)], entry.zone,
-                            entry.cell, entry.kind, entry.weight or 1.0))
+            rows.append(
+                Row(
+                    entry.appliance,
+                    entry.build,
+                    entry.run,
+                    self._started[mark],
+                    STATES[min(entry.state, pb.GONE)],
+                    entry.zone,
+                    entry.cell,
+                    entry.kind,
+                    entry.weight or 1.0,
+                )
+            )
             if entry.state == pb.GONE:
                 del self._entries[entry.appliance]
-        self._started = {(name, run): since for (name, run), since in self._started.items()
-                         if name in self._entries and self._entries[name].run == run}
+        self._started = {
+            (name, run): since
+            for (name, run), since in self._started.items()
+            if name in self._entries and self._entries[name].run == run
+        }
         self.links.listed(self.seat.listed(how, rows))
 
 
@@ -248,12 +295,30 @@
     """Stages, reports and tallies in; votes out. Any of the channels tells and counts for all: where one falls silent or
     knows no leader, the next is asked."""
 
-    def __init__(self, seat: Seat, channels: Sequence[Channel], hello: pb.Hello, vote_timeout: int, silence: int,
-                 waits: Waits, note: Note, now: Callable[[], int], stamps: Stamps, chance: random.Random) -> None:
-        self.seat, self.channels, self.hello, self.waits, self.note, self.now = seat, channels, hello, waits, note, now
+    def __init__(
+        self,
+        seat: Seat,
+        channels: Sequence[Channel],
+        hello: pb.Hello,
+        vote_timeout: int,
+        silence: int,
+        waits: Waits,
+        note: Note,
+        now: Callable[[], int],
+        stamps: Stamps,
+        chance: random.Random,
+    ) -> None:
+        self.seat, self.channels, self.hello, self.waits, self.note, self.now = (
+            seat,
+            channels,
+            hello,
+            waits,
+            note,
+            now,
+        )
         self.vote_timeout, self.silence, self.stamps, self.chance = vote_timeout, silence, stamps, chance
-        self._at = chance.randrange(len(channels))      # spreads agents over the controllers
-        self._counts = self._at                         # who answered a ballot last
+        self._at = chance.randrange(len(channels))  # spreads agents over the controllers
+        self._counts = self._at  # who answered a ballot last
         self._lost = False
         self._followed: FencingToken | None = None
 
@@ -281,10 +346,12 @@
             if told or not self._lost:
                 self._lost = True
                 self.note("conveyor_lost", level="warning", why=why)
-            if asyncio.current_task().cancelling():     # wait_for may swallow the word to end, and the process stayed
+            if (
+                asyncio.current_task().cancelling()
+            ):  # wait_for may swallow the word to end, and the process stayed
                 return
             self._at = self._counts = (self._at + 1) % len(self.channels)
-            await asyncio.sleep(max(self.waits.again(), advice / 1e6))      # told by whom the crowd is known to
+            await asyncio.sleep(max(self.waits.again(), advice / 1e6))  # told by whom the crowd is known to
 
     async def _words(self) -> AsyncIterator[bytes]:
         """Of the channel whose turn it is. One of several is left where it has been silent for so long that it should
@@ -293,7 +360,9 @@
         source = channel.stream("/cartweir.v1.Conveyor/News", self.hello.SerializeToString())
         while True:
             try:
-                yield await asyncio.wait_for(anext(source), self.silence / 1e6 if len(self.channels) > 1 else None)
+                yield await asyncio.wait_for(
+                    anext(source), self.silence / 1e6 if len(self.channels) > 1 else None
+                )
             except StopAsyncIteration:
                 return
             except (asyncio.TimeoutError, TimeoutError):
@@ -310,22 +379,45 @@
                 operation = self.seat.operations.get(word.tally.operation)
                 if operation is not None:
                     tally = word.tally
-                    self.seat.tallied(Tally(tally.build, operation, tally.count, tally.failures, tally.mean_time, tally.age))
+                    self.seat.tallied(
+                        Tally(tally.build, operation, tally.count, tally.failures, tally.mean_time, tally.age)
+                    )
 
     async def _stage(self, told: pb.Stage, answer: str | None) -> None:
         stages, came = len(self.seat.known["caps"]), self.now()
         if told.number >= stages or told.phase >= len(PHASES) or not 0 <= told.cap <= 1:
-            self.note("stage_unknown", level="error", build=told.build, stage=told.number, phase=told.phase,
-                      cap=told.cap, due=f"stage 0 to {stages - 1} of [release], a phase from 0 to 3, a cap from 0 to 1")
+            self.note(
+                "stage_unknown",
+                level="error",
+                build=told.build,
+                stage=told.number,
+                phase=told.phase,
+                cap=told.cap,
+                due=f"stage 0 to {stages - 1} of [release], a phase from 0 to 3, a cap from 0 to 1",
+            )
             return
         stamp = FencingToken(told.epoch, told.index)
         if not await self.stamps.take(stamp, told.build):
-            self.note("stage_late", level="warning", build=told.build, stage=told.number, epoch=stamp.epoch, index=stamp.index,
-                      seen=tuple(self.stamps.fence.seen))
+            self.note(
+                "stage_late",
+                level="warning",
+                build=told.build,
+                stage=told.number,
+                epoch=stamp.epoch,
+                index=stamp.index,
+                seen=tuple(self.stamps.fence.seen),
+            )
             return
         if stamp != self._followed:
             self._followed = stamp
-            self.note("followed", build=told.build, stage=told.number, phase=PHASES[told.phase], epoch=stamp.epoch, index=stamp.index)
+            self.note(
+                "followed",
+                build=told.build,
+                stage=told.number,
+                phase=PHASES[told.phase],
+                epoch=stamp.epoch,
+                index=stamp.index,
+            )
         age = told.age + self.now() - came
         self.seat.staged(Stage(told.build, told.number, PHASES[told.phase], told.cap, age, answer))
 
@@ -335,8 +427,13 @@
     async def _voting(self, build: int, stage: int, verdict: str) -> None:
         """One ballot under one number, told to one after another until it is answered: it counts once. First to whom
         answered the last one: guards against a controller that takes ballots and can't pass them on, each time anew."""
-        ballot = pb.Ballot(agent=self.hello.agent, build=build, stage=stage, choice=CHOICES[verdict],
-                           serial=self.chance.getrandbits(62) + 1)
+        ballot = pb.Ballot(
+            agent=self.hello.agent,
+            build=build,
+            stage=stage,
+            choice=CHOICES[verdict],
+            serial=self.chance.getrandbits(62) + 1,
+        )
         end, tries, told, first = self.now() + self.vote_timeout, 0, None, self._counts
         while True:
             at = (first + tries) % len(self.channels)
@@ -344,7 +441,9 @@
             # an even part of what is left: one that hears and is not heard would take all of it, each time
             left = (end - self.now()) // (len(self.channels) - tries)
             try:
-                answer = await channel.unary("/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), max(left, 1_000))
+                answer = await channel.unary(
+                    "/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), max(left, 1_000)
+                )
                 told = pb.Verdict.FromString(answer.message)
                 how, self._counts = ANSWERS[told.answer], at
                 break
--- a/cartweir/agent/queued.py
+++ b/cartweir/agent/queued.py
@@ -1,5 +1,6 @@
 """How long what a new connection brought has been waiting in the kernel: nobody may have accepted for a while (a part that was killed, a
 process that had just started), and the client's time runs from when it asked. From Linux's tcp(7): TCP_INFO."""
+
 from __future__ import annotations
 
 import fcntl
@@ -7,7 +8,7 @@
 import struct
 import termios
 
-LAST_DATA = 52              # offset of tcpi_last_data_recv in struct tcp_info: milliseconds since the last data came
+LAST_DATA = 52  # offset of tcpi_last_data_recv in struct tcp_info: milliseconds since the last data came
 _INT = struct.Struct("=I")
 
 
@@ -20,4 +21,4 @@
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA + _INT.size)
         return unread, _INT.unpack_from(info, LAST_DATA)[0] * 1000
     except (OSError, struct.error, AttributeError):
-        return 0, 0                 # another system
+        return 0, 0  # another system
--- a/cartweir/cores/book.py
+++ b/cartweir/cores/book.py
@@ -4,6 +4,7 @@
 that is killed leaves it whole and an agent that is killed leaves nothing behind. Whatever is written counts from the
 moment at which its counter is: one store of eight bytes, behind the record.
 """
+
 from __future__ import annotations
 
 import mmap
@@ -15,14 +16,14 @@
 
 import msgpack
 
-ROWS = 1 << 16                  # dispatches at builds on trial that are remembered
+ROWS = 1 << 16  # dispatches at builds on trial that are remembered
 _HEAD = struct.Struct("<8sQ")
-_ROW = struct.Struct("<QQ")     # when, operation
+_ROW = struct.Struct("<QQ")  # when, operation
 _COUNT = struct.Struct("<Q")
-_KEY = struct.Struct("<QI")     # build, length; the key follows
-_SLOT = struct.Struct("<QII")   # number, size, checksum
+_KEY = struct.Struct("<QI")  # build, length; the key follows
+_SLOT = struct.Struct("<QII")  # number, size, checksum
 _MAGIC = b"cartweir"
-PAGE = 32 * 1024                # of the state, of which there are two
+PAGE = 32 * 1024  # of the state, of which there are two
 _COUNT_AT, _SLOT_AT, _SLOT_SIZE, _ROWS_AT = 16, 64, PAGE - 64, 64 + 2 * PAGE
 
 
@@ -43,7 +44,7 @@
             os.ftruncate(self.file, size)
             self._map.close()
             self._map = mmap.mmap(self.file, size)
-        self._map[start:start + len(record)] = record
+        self._map[start : start + len(record)] = record
         self._used += len(record)
         _COUNT.pack_into(self._map, 0, self._used)
 
@@ -56,7 +57,7 @@
         while at < end:
             build, size = _KEY.unpack_from(self._map, at)
             at += _KEY.size
-            yield self._map[at:at + size].decode(), build
+            yield self._map[at : at + size].decode(), build
             at += size
 
     def close(self) -> None:
@@ -89,8 +90,10 @@
         return _ROW.unpack_from(self._map, _ROWS_AT + self._count % ROWS * _ROW.size)[0]
 
     def exposures(self) -> list[tuple[int, int]]:
-        return [_ROW.unpack_from(self._map, _ROWS_AT + number % ROWS * _ROW.size)
-                for number in range(max(0, self._count - ROWS), self._count)]
+        return [
+            _ROW.unpack_from(self._map, _ROWS_AT + number % ROWS * _ROW.size)
+            for number in range(max(0, self._count - ROWS), self._count)
+        ]
 
     # ---- keys ----
     def bound(self, key: str, build: int) -> None:
@@ -120,14 +123,14 @@
         self.state.update(changes)
         self._slot += 1
         at = _SLOT_AT + self._slot % 2 * PAGE
-        self._map[at + _SLOT.size:at + _SLOT.size + len(data)] = data
+        self._map[at + _SLOT.size : at + _SLOT.size + len(data)] = data
         _SLOT.pack_into(self._map, at, self._slot, len(data), zlib.crc32(data) ^ self._slot)
 
     def _slots(self) -> Iterator[tuple[int, dict[str, Any]]]:
         """Those that are whole: one that was being written when its writer died fails its sum."""
         for at in (_SLOT_AT, _SLOT_AT + PAGE):
             number, size, check = _SLOT.unpack_from(self._map, at)
-            data = self._map[at + _SLOT.size:at + _SLOT.size + min(size, _SLOT_SIZE)]
+            data = self._map[at + _SLOT.size : at + _SLOT.size + min(size, _SLOT_SIZE)]
             if number and zlib.crc32(data) ^ number == check:
                 yield number, msgpack.unpackb(data)
 
--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -1,5 +1,6 @@
 """The deciding part: the one instance of the decisions, the news it needs, and the book. Carrying parts bring it what
 happens to invocations; its wishes go back to whoever holds or carries them."""
+
 from __future__ import annotations
 
 import asyncio
@@ -36,8 +37,8 @@
 
     def __init__(self, number: int, pipe: Pipe, share: Share) -> None:
         self.number, self.pipe, self.share = number, pipe, share
-        self.leaving = False                            # it drains, and carries nothing new for others
-        self.invs: dict[int, Invocation] = {}           # that it holds, until nothing of them is out
+        self.leaving = False  # it drains, and carries nothing new for others
+        self.invs: dict[int, Invocation] = {}  # that it holds, until nothing of them is out
 
     def tidy(self, ident: int) -> None:
         """Forgotten once it is answered and nothing of it is out."""
@@ -53,8 +54,8 @@
 
     def __init__(self, member: Member, ident: int) -> None:
         self.member, self.ident = member, ident
-        self.answer = 0                                 # number of the dispatch whose answer it is to be
-        self.given = False                              # the part has passed it on already
+        self.answer = 0  # number of the dispatch whose answer it is to be
+        self.given = False  # the part has passed it on already
 
     def _say(self, how: int, figure: int) -> None:
         self.member.pipe.send([say.ANSWER, self.ident, how, figure])
@@ -116,8 +117,15 @@
     """A World, and owner of the pipes. files: of the book, in which the deciding part before wrote. facts: the lock of the agent's
     own file, which outlives the agent as the book does not."""
 
-    def __init__(self, document: AgentDocument, log: Any, files: tuple[int, int, int], life: int,
-                 tap: Tap | None = None, facts: IO[str] | None = None) -> None:
+    def __init__(
+        self,
+        document: AgentDocument,
+        log: Any,
+        files: tuple[int, int, int],
+        life: int,
+        tap: Tap | None = None,
+        facts: IO[str] | None = None,
+    ) -> None:
         self.document, self.log = document, log
         agent = document.agent
         self.loop = IOLoop.current()
@@ -132,7 +140,7 @@
         self.marks: dict[Appliance, str] = {}
         self.addresses: dict[str, str] = {}
         self._to_say: list[Callable[[], None]] = []
-        self._short = False                                 # the book has no room for all evidence
+        self._short = False  # the book has no room for all evidence
         self.registry = None
         operations = operations_of(document)
         self._index = {operation: at for at, operation in enumerate(operations)}
@@ -142,13 +150,26 @@
         stamps = Stamps(agent.stage_file, self.note)
         self.keep: Keep | None = None
         if agent.facts_file is not None:
-            self.keep = Keep(agent.facts_file, owner_of(document), stamps.fence.seen, self.note, agent.facts_most, facts)
+            self.keep = Keep(
+                agent.facts_file, owner_of(document), stamps.fence.seen, self.note, agent.facts_most, facts
+            )
             stamps.on_follow = self.keep.decided
-            if self.book.state.get("stage") is None:        # the agent's first: what came before it is known by the file alone
+            if (
+                self.book.state.get("stage") is None
+            ):  # the agent's first: what came before it is known by the file alone
                 self.seat.recall(self.keep.recalled)
         self._restore()
         self.registry, self.conveyor, self.peers = make_news(
-            document, self.seat, self, self.clock.now, self.note, self.chance, limits_of(document), tap, stamps)
+            document,
+            self.seat,
+            self,
+            self.clock.now,
+            self.note,
+            self.chance,
+            limits_of(document),
+            tap,
+            stamps,
+        )
 
     def _restore(self) -> None:
         """What the one before wrote down."""
@@ -211,7 +232,12 @@
         del self.members[member.number]
         self.division.lost(member.number)
         member.pipe.close()
-        self.note("part_lost", level="info" if member.leaving else "warning", lost=member.number, held=len(member.invs))
+        self.note(
+            "part_lost",
+            level="info" if member.leaving else "warning",
+            lost=member.number,
+            held=len(member.invs),
+        )
         for inv in list(member.invs.values()):
             self.seat.left(inv)
             for dispatch in inv.dispatches:
@@ -240,12 +266,33 @@
         else:
             act()
 
-    def _taken(self, member: Member, ident: int, operation: Any, arrived: int, limit: int, customer: str,
-               key: str | None, hint: int, retry: bool, write: bool) -> None:
+    def _taken(
+        self,
+        member: Member,
+        ident: int,
+        operation: Any,
+        arrived: int,
+        limit: int,
+        customer: str,
+        key: str | None,
+        hint: int,
+        retry: bool,
+        write: bool,
+    ) -> None:
         if self.members.get(member.number) is not member or ident in member.invs:
             return
-        member.invs[ident] = self.seat.take(FarCall(member, ident), operation, arrived, limit, ident=ident,
-                                            customer=customer, key=key, hint=hint, retry=retry, write=write)
+        member.invs[ident] = self.seat.take(
+            FarCall(member, ident),
+            operation,
+            arrived,
+            limit,
+            ident=ident,
+            customer=customer,
+            key=key,
+            hint=hint,
+            retry=retry,
+            write=write,
+        )
         member.tidy(ident)
 
     def _left(self, member: Member, ident: int) -> None:
@@ -254,8 +301,17 @@
             self.seat.left(inv)
             member.tidy(ident)
 
-    def _ended(self, member: Member, ident: int, number: int, how: int, load: dict | None, passed: bool, lag: int,
-               given: bool) -> None:
+    def _ended(
+        self,
+        member: Member,
+        ident: int,
+        number: int,
+        how: int,
+        load: dict | None,
+        passed: bool,
+        lag: int,
+        given: bool,
+    ) -> None:
         inv = member.invs.get(ident)
         if inv is None or number >= len(inv.dispatches):
             return
@@ -304,13 +360,32 @@
             self.division.lost(member.number)
 
     _NEWS: dict[int, Callable[..., None]] = {
-        say.HELLO: _hello, say.TAKE: _take, say.LEFT: _left, say.ENDED: _ended, say.BEGUN: _begun, say.MAY: _may,
-        say.PROBED: _probed, say.TOLD: _told, say.BOUND: _bound, say.BEAT: _member_beat}
+        say.HELLO: _hello,
+        say.TAKE: _take,
+        say.LEFT: _left,
+        say.ENDED: _ended,
+        say.BEGUN: _begun,
+        say.MAY: _may,
+        say.PROBED: _probed,
+        say.TOLD: _told,
+        say.BOUND: _bound,
+        say.BEAT: _member_beat,
+    }
 
     # ---- what parts are told ----
     def _row(self, row: Row) -> list:
-        return [row.ident, row.build, row.run, row.started, row.state, row.zone, row.cell, row.kind, row.weight,
-                self.addresses.get(row.ident, "")]
+        return [
+            row.ident,
+            row.build,
+            row.run,
+            row.started,
+            row.state,
+            row.zone,
+            row.cell,
+            row.kind,
+            row.weight,
+            self.addresses.get(row.ident, ""),
+        ]
 
     def tell_rows(self, how: str, rows: list[Row], changed: list[Appliance]) -> None:
         for appliance in changed:
@@ -319,17 +394,27 @@
                 if self.seat.roster.appliances.get(appliance.ident) is appliance:
                     self.rows.pop(appliance.ident, None)
         if how in (ours.CHANGES, ours.WHOLE, ours.CACHED):
-            text = [say.ROWS, ours.CHANGES if how == ours.CHANGES else ours.WHOLE, [self._row(row) for row in rows]]
+            text = [
+                say.ROWS,
+                ours.CHANGES if how == ours.CHANGES else ours.WHOLE,
+                [self._row(row) for row in rows],
+            ]
             for member in self.members.values():
                 member.pipe.send(text)
 
     def _stage_message(self, stage: Stage) -> list:
-        return [say.STAGE, stage.build, stage.number, stage.phase, max(0, self.clock.now() - self.seat.engine.agent.stage_since)]
+        return [
+            say.STAGE,
+            stage.build,
+            stage.number,
+            stage.phase,
+            max(0, self.clock.now() - self.seat.engine.agent.stage_since),
+        ]
 
     def tell_stage(self, told: Stage) -> None:
         agent = self.seat.engine.agent
         stage = agent.stage
-        if stage is not told:               # a vote's refusal brings no news
+        if stage is not told:  # a vote's refusal brings no news
             return
         state = [stage.build, stage.number, stage.phase, stage.cap, agent.stage_since]
         if self.book.state.get("stage") != state:
@@ -374,8 +459,17 @@
         carrier = self.division.carrier(member.share, dispatch.appliance.ident, self.clock.now())
         carrier.out += 1
         if self._booked(dispatch):
-            member.pipe.send([say.DISPATCH, inv.ident, dispatch.number, self.marks.get(dispatch.appliance, ""),
-                              dispatch.patience, self.seat.engine.now, carrier.number])
+            member.pipe.send(
+                [
+                    say.DISPATCH,
+                    inv.ident,
+                    dispatch.number,
+                    self.marks.get(dispatch.appliance, ""),
+                    dispatch.patience,
+                    self.seat.engine.now,
+                    carrier.number,
+                ]
+            )
         else:
             self.note("book_full", level="error")
             self.loop.add_callback(self.seat.ended, dispatch, ours.MOOT)
--- a/cartweir/cores/desk.py
+++ b/cartweir/cores/desk.py
@@ -4,6 +4,7 @@
 gets too late is asked for anew, one for what it has answered is dropped, and no other part can answer. Without a
 deciding part it goes on with an understudy, an instance of the decisions that may meet nothing on trial and nothing cold.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -22,13 +23,32 @@
 from ..interface import READY, Appliance, Dispatch, Invocation, Operation, Stage, Throttle
 from ..wire.grpc import Headers
 from . import pipe as say
-from .division import (ASK, GO, Silence, fate, last_word, may_meet_alone, may_stand_in, must_wait, stood_still,
-                       understudy_known)
+from .division import (
+    ASK,
+    GO,
+    Silence,
+    fate,
+    last_word,
+    may_meet_alone,
+    may_stand_in,
+    must_wait,
+    stood_still,
+    understudy_known,
+)
 from .lending import Lending
 from .pipe import Pipe
 
 Note = Callable[..., None]
-OUTCOMES = (ours.SUCCEEDED, ours.ERROR, ours.TIMEOUT, ours.RESET, ours.CANCELLED, ours.FULL, ours.UNCONNECTED, ours.MOOT)
+OUTCOMES = (
+    ours.SUCCEEDED,
+    ours.ERROR,
+    ours.TIMEOUT,
+    ours.RESET,
+    ours.CANCELLED,
+    ours.FULL,
+    ours.UNCONNECTED,
+    ours.MOOT,
+)
 CODES = {how: code for code, how in enumerate(OUTCOMES)}
 SUCCEED, THROTTLE, TERMINATE = range(3)
 
@@ -40,25 +60,43 @@
 
     def __init__(self, inv: Invocation, call: ClientCall, facts: dict[str, Any]) -> None:
         self.inv, self.call, self.facts = inv, call, facts
-        self.grants: dict[int, list] = {}           # by dispatch: what the deciding part said, until it has left
-        self.attempts: dict[int, Any] = {}          # by dispatch: what is out
-        self.answers: dict[int, tuple] = {}         # by dispatch: whole answers that nobody has ruled on
-        self.life = 0                               # of the deciding part that knows it; 0: none
+        self.grants: dict[int, list] = {}  # by dispatch: what the deciding part said, until it has left
+        self.attempts: dict[int, Any] = {}  # by dispatch: what is out
+        self.answers: dict[int, tuple] = {}  # by dispatch: whole answers that nobody has ruled on
+        self.life = 0  # of the deciding part that knows it; 0: none
         self.answered = False
 
 
 class Desk:
     """number: of this part, from 1; links and front report here. `idents` gives numbers that no other part uses."""
 
-    def __init__(self, number: int, parts: int, known: Mapping[str, Any], clock: Clock, links: Links, note: Note,
-                 idents: Iterator[int], seed: int) -> None:
-        self.number, self.parts, self.known, self.clock, self.links, self.note = number, parts, known, clock, links, note
+    def __init__(
+        self,
+        number: int,
+        parts: int,
+        known: Mapping[str, Any],
+        clock: Clock,
+        links: Links,
+        note: Note,
+        idents: Iterator[int],
+        seed: int,
+    ) -> None:
+        self.number, self.parts, self.known, self.clock, self.links, self.note = (
+            number,
+            parts,
+            known,
+            clock,
+            links,
+            note,
+        )
         self.idents, self.seed, self.loop = idents, seed, IOLoop.current()
-        self.operations: dict[str, Operation] = {operation.name: operation for operation in known["operations"]}
+        self.operations: dict[str, Operation] = {
+            operation.name: operation for operation in known["operations"]
+        }
         self._index = {operation: at for at, operation in enumerate(known["operations"])}
         self.cases: dict[int, Case] = {}
         self.roster = Roster()
-        self.appliances: dict[str, Appliance] = {}      # by the mark that the parts know one start of one by
+        self.appliances: dict[str, Appliance] = {}  # by the mark that the parts know one start of one by
         self.marks: dict[Appliance, str] = {}
         # of what is carried for others, all that links ask: whether its answer is a stream
         self.shapes = {stream: Operation("", stream=stream) for stream in (False, True)}
@@ -66,12 +104,12 @@
         self.told_at = 0
         self.silence = Silence(clock.now())
         self.decider: Pipe | None = None
-        self.life = 0                                   # of the deciding part
+        self.life = 0  # of the deciding part
         self.lending = Lending(self)
         self.leaving = False
         self._understudy: Seat | None = None
         self._alarms = Alarms(self.loop, clock.now, lambda: self._understudy.alarm())
-        self._dues: list[tuple[int, int]] = []          # when a case is looked at, if it still waits
+        self._dues: list[tuple[int, int]] = []  # when a case is looked at, if it still waits
         self._watch = Alarms(self.loop, clock.now, self._look)
         self._woke = clock.now()
         self._ticked = clock.now()
@@ -84,7 +122,7 @@
         decider.send([say.HELLO, self.number])
         for case in list(self.cases.values()):
             if not case.answered:
-                if case.inv.dispatches:                 # of one that is gone: its outcome is awaited here
+                if case.inv.dispatches:  # of one that is gone: its outcome is awaited here
                     self._rule(case)
                 else:
                     self._refer(case)
@@ -127,10 +165,18 @@
         self.stage, self.told_at = Stage(build, number, phase, 0.0, age), self.clock.now()
 
     # ---- from the front ----
-    def take(self, call: ClientCall, operation: Operation, arrived: int, limit: int, **facts: Any) -> Invocation:
+    def take(
+        self, call: ClientCall, operation: Operation, arrived: int, limit: int, **facts: Any
+    ) -> Invocation:
         """As the Seat's."""
         now = self.clock.now()
-        inv = Invocation(next(self.idents), operation, min(arrived, now), arrived + min(limit, operation.time_limit), **facts)
+        inv = Invocation(
+            next(self.idents),
+            operation,
+            min(arrived, now),
+            arrived + min(limit, operation.time_limit),
+            **facts,
+        )
         if self.silence.alone and self._can_stand_in(inv):
             return self._hand_over(inv, call, limit, facts)
         case = self.cases[inv.ident] = Case(inv, call, facts)
@@ -142,9 +188,20 @@
     def _refer(self, case: Case) -> None:
         inv, facts = case.inv, case.facts
         case.life = self.life
-        self.decider.send([say.TAKE, inv.ident, self._index[inv.operation], inv.taken, inv.expires - inv.taken,
-                           facts.get("customer", ""), facts.get("key"), facts.get("hint", 0), facts.get("retry", False),
-                           facts.get("write", False)])
+        self.decider.send(
+            [
+                say.TAKE,
+                inv.ident,
+                self._index[inv.operation],
+                inv.taken,
+                inv.expires - inv.taken,
+                facts.get("customer", ""),
+                facts.get("key"),
+                facts.get("hint", 0),
+                facts.get("retry", False),
+                facts.get("write", False),
+            ]
+        )
 
     def left(self, inv: Invocation) -> None:
         """The client has gone; nothing is owed."""
@@ -221,10 +278,12 @@
         if goes is not None and attempt is not None:
             attempt.cleared(goes)
 
-    def _start(self, case: Case, number: int, appliance: Appliance, carrier: int, patience: int, given: int) -> None:
+    def _start(
+        self, case: Case, number: int, appliance: Appliance, carrier: int, patience: int, given: int
+    ) -> None:
         dispatch = Dispatch(appliance, patience, None, case.inv, number, self.clock.now())
         dispatch.learned = given
-        while len(case.inv.dispatches) <= number:       # those before that were never used stand as moot
+        while len(case.inv.dispatches) <= number:  # those before that were never used stand as moot
             moot = Dispatch(appliance, invocation=case.inv, number=len(case.inv.dispatches), ended=ours.MOOT)
             case.inv.dispatches.append(moot)
         case.inv.dispatches[number] = dispatch
@@ -267,7 +326,7 @@
             return
         if how == SUCCEED and figure not in case.answers:
             return
-        if how != SUCCEED and case.answers:         # it was given up on while its answer came
+        if how != SUCCEED and case.answers:  # it was given up on while its answer came
             how, figure = SUCCEED, next(iter(case.answers))
         self._give(case, how, figure)
 
@@ -289,8 +348,15 @@
             self.links.probe(appliance)
 
     _ORDERS: dict[int, Callable[..., None]] = {
-        say.DISPATCH: _dispatch, say.CANCEL: _cancel, say.ANSWER: _answer, say.MAY_GO: _may_go, say.PROBE: _probe,
-        say.ROWS: _rows, say.STAGE: _stage, say.PULSE: _pulse}
+        say.DISPATCH: _dispatch,
+        say.CANCEL: _cancel,
+        say.ANSWER: _answer,
+        say.MAY_GO: _may_go,
+        say.PROBE: _probe,
+        say.ROWS: _rows,
+        say.STAGE: _stage,
+        say.PULSE: _pulse,
+    }
 
     # ---- from the links ----
     def leaves(self, dispatch: Dispatch) -> bool | None:
@@ -310,7 +376,7 @@
     def begun(self, dispatch: Dispatch) -> bool:
         """As the Seat's."""
         if self.lending.has(dispatch):
-            return True                                 # the holder drops it if not
+            return True  # the holder drops it if not
         case = self._case(dispatch.invocation)
         if case is None:
             return self._understudy is not None and self._understudy.begun(dispatch)
@@ -321,8 +387,14 @@
             self.decider.send([say.BEGUN, case.inv.ident])
         return True
 
-    def ended(self, dispatch: Dispatch, how: str, load: Mapping[str, float] | None = None,
-              answer: tuple[Headers, list[bytes], Headers] | None = None, passed: bool = False) -> None:
+    def ended(
+        self,
+        dispatch: Dispatch,
+        how: str,
+        load: Mapping[str, float] | None = None,
+        answer: tuple[Headers, list[bytes], Headers] | None = None,
+        passed: bool = False,
+    ) -> None:
         """As the Seat's."""
         if self.lending.has(dispatch):
             self.lending.ended(dispatch, how, load, answer, passed)
@@ -340,21 +412,36 @@
         given = False
         if how == ours.SUCCEEDED and not case.answered:
             case.answers[dispatch.number] = answer or ((), [], ())
-            if given := not must_wait(self.known, case.inv):        # as the Seat: the first success is the answer
+            if given := not must_wait(self.known, case.inv):  # as the Seat: the first success is the answer
                 self._give(case, SUCCEED, dispatch.number)
         if case.life and case.life == self.life:
             lag = max(0, self.clock.now() - self.clock.arrived())
-            if how == ours.SUCCEEDED and not given:         # binds, though the dispatch was given up on meanwhile
+            if how == ours.SUCCEEDED and not given:  # binds, though the dispatch was given up on meanwhile
                 self.decider.send([say.BOUND, case.inv.key, dispatch.appliance.build])
-            self.decider.send([say.ENDED, case.inv.ident, dispatch.number, CODES[how], dict(load) if load else None, passed,
-                               lag, given], urgent=how != ours.SUCCEEDED or not given)
+            self.decider.send(
+                [
+                    say.ENDED,
+                    case.inv.ident,
+                    dispatch.number,
+                    CODES[how],
+                    dict(load) if load else None,
+                    passed,
+                    lag,
+                    given,
+                ],
+                urgent=how != ours.SUCCEEDED or not given,
+            )
         if not case.answered and (case.life != self.life or not self.life or self.silence.alone):
             self._rule(case)
         self._tidy(case)
 
-    def probed(self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None) -> None:
+    def probed(
+        self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
+    ) -> None:
         if self.decider is not None:
-            self.decider.send([say.PROBED, self.marks.get(appliance), answered, took, dict(load) if load else None])
+            self.decider.send(
+                [say.PROBED, self.marks.get(appliance), answered, took, dict(load) if load else None]
+            )
 
     def _report(self, ident: int, number: int, how: str) -> None:
         if self.decider is not None:
@@ -367,7 +454,7 @@
     def _tidy(self, case: Case) -> None:
         if case.answered and not case.attempts and not case.grants:
             self.cases.pop(case.inv.ident, None)
-            case.inv.dispatches = []            # no cycle is left to the collector
+            case.inv.dispatches = []  # no cycle is left to the collector
 
     # ---- without the deciding part ----
     def _rule(self, case: Case) -> None:
@@ -440,7 +527,12 @@
         return taken
 
     def _go_alone(self) -> None:
-        self.note("alone", level="warning", held=len(self.cases), silent=(self.clock.now() - self.silence.heard) // 1000)
+        self.note(
+            "alone",
+            level="warning",
+            held=len(self.cases),
+            silent=(self.clock.now() - self.silence.heard) // 1000,
+        )
         if self.appliances:
             self._prepare()
         for case in list(self.cases.values()):
--- a/cartweir/cores/division.py
+++ b/cartweir/cores/division.py
@@ -5,6 +5,7 @@
 at which it was given. It holds for one tick: the decisions count their window two ticks longer than it is, and the
 platform's graces are longer still. Past it the carrying part asks anew, and the count moves to the present.
 """
+
 from __future__ import annotations
 
 import random
@@ -17,10 +18,10 @@
 
 MS, S = 1_000, 1_000_000
 GO, ASK, DROP = "go", "ask", "drop"
-SILENT = 250 * MS               # without a word from the deciding part for so long, a part goes on alone
-FRESH = 150 * MS                # a part that was heard within it is given dispatches that others hold
-SLACK = 2.0                     # a dispatch leaves the part that holds its call when it is so much busier than others
-FREE_HAND = 8                   # and has more than so many dispatches out
+SILENT = 250 * MS  # without a word from the deciding part for so long, a part goes on alone
+FRESH = 150 * MS  # a part that was heard within it is given dispatches that others hold
+SLACK = 2.0  # a dispatch leaves the part that holds its call when it is so much busier than others
+FREE_HAND = 8  # and has more than so many dispatches out
 
 
 def fate(now: int, given: int, life: int, owed: bool) -> str:
@@ -34,9 +35,10 @@
 @dataclass(eq=False, slots=True)
 class Share:
     """One carrying part, as the deciding one sees it."""
+
     number: int
-    heard: int = 0              # when it last said something
-    out: int = 0                # dispatches that it carries
+    heard: int = 0  # when it last said something
+    out: int = 0  # dispatches that it carries
 
 
 class Division:
@@ -61,16 +63,23 @@
         first by rendezvous hashing of those that live, so that a death moves but what was its own."""
         may = self._may.get(ident)
         if may is None:
-            ranked = sorted(self.shares, key=lambda n: blake2b(f"{ident}/{n}".encode(), digest_size=8).digest())
-            may = self._may[ident] = frozenset(ranked if self.connections >= self.parts else ranked[:self.connections])
+            ranked = sorted(
+                self.shares, key=lambda n: blake2b(f"{ident}/{n}".encode(), digest_size=8).digest()
+            )
+            may = self._may[ident] = frozenset(
+                ranked if self.connections >= self.parts else ranked[: self.connections]
+            )
         return may
 
     def carrier(self, holder: Share, ident: str, now: int) -> Share:
         """The part that holds the call spares a hop. Guards against one connection with all the traffic: its part
         sends away what others have more time for."""
         may = self.may_carry(ident)
-        others = [share for share in self.shares.values()
-                  if share is not holder and share.number in may and now - share.heard <= FRESH]
+        others = [
+            share
+            for share in self.shares.values()
+            if share is not holder and share.number in may and now - share.heard <= FRESH
+        ]
         if not others:
             return holder if holder.number in may or not may else self.shares[max(may)]
         idlest = min(others, key=lambda share: (share.out, share.number))
@@ -81,8 +90,11 @@
     def prober(self, ident: str, now: int) -> Share | None:
         """Whoever may connect, is awake and has least to do."""
         may = self.may_carry(ident)
-        return min((s for s in self.shares.values() if s.number in may and now - s.heard <= FRESH),
-                   key=lambda share: (share.out, share.number), default=None)
+        return min(
+            (s for s in self.shares.values() if s.number in may and now - s.heard <= FRESH),
+            key=lambda share: (share.out, share.number),
+            default=None,
+        )
 
 
 # ---- going on alone: by a carrying part ----------------------------------------------------------------------
@@ -120,8 +132,17 @@
 def understudy_known(known: Mapping[str, Any], parts: int) -> dict[str, Any]:
     """Settings of the decisions where one part goes on alone: nothing is free at a build on trial and no cap is known,
     so none of it is met; limits are a part's; it has no voice among agents."""
-    return {**known, "free": 0.0, "caps": tuple(0.0 for _ in known["caps"]), "agents": known["agents"] * parts,
-            "may_message": False, "may_probe": False, "must_ask": False, "vote_allowance": 0.0, "on_votes": 0}
+    return {
+        **known,
+        "free": 0.0,
+        "caps": tuple(0.0 for _ in known["caps"]),
+        "agents": known["agents"] * parts,
+        "may_message": False,
+        "may_probe": False,
+        "must_ask": False,
+        "vote_allowance": 0.0,
+        "on_votes": 0,
+    }
 
 
 def may_stand_in(known: Mapping[str, Any], inv: Invocation) -> bool:
@@ -156,7 +177,8 @@
 # ---- watching parts: by the supervisor --------------------------------------------------------------------------
 class Tending:
     """One part's lives. hang: a part whose loop has not turned for so long is ended by force."""
-    LEAST, MOST, WELL = 20 * MS, S, 10 * S      # waits between starts double, unless a life lasted
+
+    LEAST, MOST, WELL = 20 * MS, S, 10 * S  # waits between starts double, unless a life lasted
 
     def __init__(self, hang: int, chance: random.Random) -> None:
         self.hang, self.chance = hang, chance
--- a/cartweir/cores/keeping.py
+++ b/cartweir/cores/keeping.py
@@ -1,5 +1,6 @@
 """What of the decisions' memory is written into the book at each beat, and put back into those that start anew: the
 evidence of the judge, the votes, the bounds. Copying alone."""
+
 from __future__ import annotations
 
 from collections.abc import Sequence
@@ -16,10 +17,16 @@
     """Plain lists and numbers. Operations are told by their place."""
     index = {operation: at for at, operation in enumerate(operations)}
     return {
-        "votes": agent.votes, "spare": agent.spare_retries, "limit": agent.limit, "undecided": agent.undecided_since,
-        "judges": [[index.get(operation), list(stream), *(_plain(getattr(judge, name)) for name in _FIELDS)]
-                   for (operation, stream), judge in agent.jury.judges.items()],
-        "times": [[kind, list(times.bins), times.total] for kind, times in agent.jury.times.items()]}
+        "votes": agent.votes,
+        "spare": agent.spare_retries,
+        "limit": agent.limit,
+        "undecided": agent.undecided_since,
+        "judges": [
+            [index.get(operation), list(stream), *(_plain(getattr(judge, name)) for name in _FIELDS)]
+            for (operation, stream), judge in agent.jury.judges.items()
+        ],
+        "times": [[kind, list(times.bins), times.total] for kind, times in agent.jury.times.items()],
+    }
 
 
 def put_back(agent: Agent, operations: Sequence[Operation], state: dict[str, Any]) -> None:
@@ -30,7 +37,7 @@
     agent.undecided_since = state.get("undecided", 0)
     for at, stream, *values in state.get("judges", ()):
         key = (None if at is None else operations[at], tuple(stream))
-        agent.jury.add(*key, False, 0, 0)           # makes it as the decisions make theirs
+        agent.jury.add(*key, False, 0, 0)  # makes it as the decisions make theirs
         judge = agent.jury.judges[key]
         for name, value in zip(_FIELDS, values):
             setattr(judge, name, tuple(value) if name == "kept" else value)
--- a/cartweir/cores/lending.py
+++ b/cartweir/cores/lending.py
@@ -3,6 +3,7 @@
 A carrier that dies may have sent what it was given: such a dispatch ends as one whose connection was lost. A holder that
 dies owes nothing, and what is carried for it is given up.
 """
+
 from __future__ import annotations
 
 from collections.abc import Mapping
@@ -20,11 +21,12 @@
 from .division import GO, fate
 from .pipe import Pipe
 
-STALE = "stale"                 # the carrier's word for a grant that has run out on the way
+STALE = "stale"  # the carrier's word for a grant that has run out on the way
 
 
 class Desk(Protocol):
     """What both ends need of the part they belong to."""
+
     known: Mapping[str, Any]
     clock: Clock
     links: Any
@@ -34,8 +36,14 @@
     shapes: Mapping[bool, Operation]
 
     def begun(self, dispatch: Dispatch) -> bool: ...
-    def ended(self, dispatch: Dispatch, how: str, load: Mapping[str, float] | None = None, answer: tuple | None = None,
-              passed: bool = False) -> None: ...
+    def ended(
+        self,
+        dispatch: Dispatch,
+        how: str,
+        load: Mapping[str, float] | None = None,
+        answer: tuple | None = None,
+        passed: bool = False,
+    ) -> None: ...
     def ask_again(self, dispatch: Dispatch) -> None: ...
     def stale(self, dispatch: Dispatch) -> None: ...
     def bind(self, key: str | None, build: int) -> None: ...
@@ -94,21 +102,34 @@
     def __init__(self, desk: Desk) -> None:
         self.desk = desk
         self.pipes: dict[int, Pipe] = {}
-        self.afar: dict[tuple[int, int], Afar] = {}             # held here, carried elsewhere
-        self.carried: dict[Dispatch, Borrowed] = {}             # carried here
+        self.afar: dict[tuple[int, int], Afar] = {}  # held here, carried elsewhere
+        self.carried: dict[Dispatch, Borrowed] = {}  # carried here
         self._by_key: dict[tuple[int, int], Dispatch] = {}
 
     # ---- the holder ----
     def lend(self, dispatch: Dispatch, call: ClientCall, carrier: int) -> Any:
         pipe = self.pipes.get(carrier)
         if pipe is None or pipe.closed:
-            self.desk.loop.add_callback(self.desk.ended, dispatch, ours.MOOT)      # it never left
+            self.desk.loop.add_callback(self.desk.ended, dispatch, ours.MOOT)  # it never left
             return _Nowhere(dispatch)
         inv = dispatch.invocation
         afar = self.afar[inv.ident, dispatch.number] = Afar(self, dispatch, call, pipe)
-        pipe.send([say.CARRY, inv.ident, dispatch.number, self.desk.marks.get(dispatch.appliance), dispatch.patience,
-                   dispatch.learned, inv.expires, inv.operation.stream, inv.key, call.asked.path,
-                   [list(pair) for pair in call.asked.metadata], call.body])
+        pipe.send(
+            [
+                say.CARRY,
+                inv.ident,
+                dispatch.number,
+                self.desk.marks.get(dispatch.appliance),
+                dispatch.patience,
+                dispatch.learned,
+                inv.expires,
+                inv.operation.stream,
+                inv.key,
+                call.asked.path,
+                [list(pair) for pair in call.asked.metadata],
+                call.body,
+            ]
+        )
         return afar
 
     def heard(self, number: int, message: list) -> None:
@@ -147,11 +168,27 @@
             self.desk.ended(afar.dispatch, how, load, answer, passed)
 
     # ---- the carrier ----
-    def _carry(self, pipe: Pipe, key: tuple[int, int], mark: str, patience: int, given: int, expires: int, stream: bool,
-               about: str | None, path: bytes, metadata: list, body: list[bytes]) -> None:
+    def _carry(
+        self,
+        pipe: Pipe,
+        key: tuple[int, int],
+        mark: str,
+        patience: int,
+        given: int,
+        expires: int,
+        stream: bool,
+        about: str | None,
+        path: bytes,
+        metadata: list,
+        body: list[bytes],
+    ) -> None:
         desk, now = self.desk, self.desk.clock.now()
         appliance = desk.appliances.get(mark)
-        if appliance is None or appliance.state != READY or fate(now, given, desk.known["tick"], now < expires) != GO:
+        if (
+            appliance is None
+            or appliance.state != READY
+            or fate(now, given, desk.known["tick"], now < expires) != GO
+        ):
             pipe.send([say.CARRIED, *key, STALE, None, None, False])
             return
         call = Borrowed(pipe, Asked(path, None, b"", [tuple(pair) for pair in metadata]), body)
@@ -190,8 +227,14 @@
         call.pipe.send([say.AGAIN, *call.key])
         return None
 
-    def ended(self, dispatch: Dispatch, how: str, load: Mapping[str, float] | None, answer: tuple | None,
-              passed: bool) -> None:
+    def ended(
+        self,
+        dispatch: Dispatch,
+        how: str,
+        load: Mapping[str, float] | None,
+        answer: tuple | None,
+        passed: bool,
+    ) -> None:
         call = self._done(dispatch)
         if how == ours.SUCCEEDED:
             self.desk.bind(dispatch.invocation.key, dispatch.appliance.build)
@@ -203,7 +246,7 @@
     def _done(self, dispatch: Dispatch) -> Borrowed:
         call = self.carried.pop(dispatch)
         del self._by_key[call.key]
-        call.attempt = None                 # no cycle is left to the collector
+        call.attempt = None  # no cycle is left to the collector
         return call
 
     # ---- ends ----
--- a/cartweir/cores/part.py
+++ b/cartweir/cores/part.py
@@ -1,4 +1,5 @@
 """One part as a process: what the supervisor and it say to each other, its loop, its life."""
+
 from __future__ import annotations
 
 import asyncio
@@ -29,14 +30,15 @@
 from .division import accept_after
 from .pipe import Pipe
 
-DECIDER = 0                     # its number; carrying parts count from 1
-LIVES = 1 << 18                 # of links and of invocations: numbers that one life of one part may use
+DECIDER = 0  # its number; carrying parts count from 1
+LIVES = 1 << 18  # of links and of invocations: numbers that one life of one part may use
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
     """What a part is started with. control: its end of the supervisor's socket; files: of the book; facts: the lock of the agent's
     own file."""
+
     number: int
     life: int
     document: AgentDocument
@@ -73,9 +75,9 @@
         try:
             self.sock.send(json.dumps(facts).encode())
         except BlockingIOError:
-            pass                                # the supervisor stands still; it reckons with that
+            pass  # the supervisor stands still; it reckons with that
         except OSError:
-            os._exit(1)                         # it is gone, and so is the agent
+            os._exit(1)  # it is gone, and so is the agent
 
     def _event(self, sock: socket.socket, events: int) -> None:
         try:
@@ -103,14 +105,31 @@
         # numbers of invocations that no other part and no other life uses
         idents = itertools.count((role.life * agent.cores + role.number - 1) * LIVES + 1)
         seed = (agent.seed or int.from_bytes(os.urandom(4), "big")) * 1000 + role.number
-        self.desk = self.links.seat = Desk(role.number, agent.cores, known, self.clock, self.links, self.note, idents, seed)
+        self.desk = self.links.seat = Desk(
+            role.number, agent.cores, known, self.clock, self.links, self.note, idents, seed
+        )
         bounds = bounds_of(document)
         bounds.connections = math.ceil(bounds.connections / agent.cores)
-        self.front = Front(self.desk, methods_of(document, self.desk.operations), bounds, self.clock, self.note,
-                           {TELL: self.desk.tell} if document.allowed.may_message else {}, tap)
+        self.front = Front(
+            self.desk,
+            methods_of(document, self.desk.operations),
+            bounds,
+            self.clock,
+            self.note,
+            {TELL: self.desk.tell} if document.allowed.may_message else {},
+            tap,
+        )
         self.ended = asyncio.Event()
-        self.ending = Ending(self.clock.now, agent.tick, agent.drain_time, self.front, lambda: self.desk.held,
-                             self.desk.give_up_all, self._end, self.note)
+        self.ending = Ending(
+            self.clock.now,
+            agent.tick,
+            agent.drain_time,
+            self.front,
+            lambda: self.desk.held,
+            self.desk.give_up_all,
+            self._end,
+            self.note,
+        )
         self.control = Control(role.control, agent.heartbeat, self._told)
         self.control.beats += [self.desk.beat, self._stalls]
 
--- a/cartweir/cores/pipe.py
+++ b/cartweir/cores/pipe.py
@@ -1,4 +1,5 @@
 """What two parts of one agent say to each other: batches of small lists over a socket pair, one batch a turn."""
+
 from __future__ import annotations
 
 import socket
@@ -9,7 +10,7 @@
 from tornado.ioloop import IOLoop
 
 CHUNK = 256 * 1024
-PATIENCE = 0.002                # seconds
+PATIENCE = 0.002  # seconds
 # From a carrying part to the deciding one.
 HELLO, TAKE, LEFT, ENDED, BEGUN, MAY, PROBED, TOLD, BOUND, BEAT = range(10)
 # From the deciding part to a carrying one.
@@ -104,7 +105,7 @@
         """The other side hears of it; so does the owner, at its next turn."""
         if not self.closed:
             self.flush()
-        if not self.closed:             # which flush() may have done
+        if not self.closed:  # which flush() may have done
             self.closed = True
             self._loop.remove_handler(self._sock)
             self._sock.close()
--- a/cartweir/cores/supervisor.py
+++ b/cartweir/cores/supervisor.py
@@ -1,5 +1,6 @@
 """Starts, watches and restarts the parts of one agent. It has no loop of its own kind, no threads and no decisions on
 routing, so that forking from it is safe and quick: a part starts with everything already loaded."""
+
 from __future__ import annotations
 
 import ctypes
@@ -28,8 +29,8 @@
 from .part import DECIDER, Role, live
 from .pipe import pair
 
-LOOK = 50_000                   # microseconds between looks at the parts
-ENDING = 2.0                    # seconds that parts of an agent that was killed may take to end behind it
+LOOK = 50_000  # microseconds between looks at the parts
+ENDING = 2.0  # seconds that parts of an agent that was killed may take to end behind it
 _PR_SET_PDEATHSIG = 1
 
 
@@ -39,16 +40,18 @@
     def __init__(self, number: int, tending: Tending) -> None:
         self.number, self.tending = number, tending
         self.life = 0
-        self.pid = 0                        # 0: does not run
+        self.pid = 0  # 0: does not run
         self.control: socket.socket | None = None
-        self.due = 0                        # when it is to be started
+        self.due = 0  # when it is to be started
         self.ready = False
 
 
 class Supervisor:
     """work: what a forked part does, given its Role. Raises OSError where it cannot listen, InUse where another keeps its facts there."""
 
-    def __init__(self, document: AgentDocument, tap: Path | None = None, work: Callable[[Role], int] = live) -> None:
+    def __init__(
+        self, document: AgentDocument, tap: Path | None = None, work: Callable[[Role], int] = live
+    ) -> None:
         self.document, self.tap, self.work = document, tap, work
         agent = document.agent
         self.log = make_log(document.log.format, document.log.level)
@@ -58,7 +61,9 @@
         self.files = new_files()
         self.facts = lock(agent.facts_file, ENDING) if agent.facts_file else None
         chance = random.Random(agent.seed)
-        self.children = {number: Child(number, Tending(agent.hang_time, chance)) for number in range(agent.cores + 1)}
+        self.children = {
+            number: Child(number, Tending(agent.hang_time, chance)) for number in range(agent.cores + 1)
+        }
         self.selector = selectors.DefaultSelector()
         self.signals = 0
         self._started = False
@@ -108,7 +113,9 @@
         lag = max(0, now - self._expected_at)
         for child in self.children.values():
             if child.pid and child.tending.hung(now, lag):
-                self.note("part_hung", level="error", part=child.number, silent=(now - child.tending.beat) // 1000)
+                self.note(
+                    "part_hung", level="error", part=child.number, silent=(now - child.tending.beat) // 1000
+                )
                 child.tending.beat = now
                 self._kill(child)
 
@@ -129,8 +136,9 @@
         child.ready = False
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         others = [c for c in self.children.values() if c.pid and c is not child]
-        role = Role(child.number, child.life, self.document, theirs, self.listening, self.files, self.tap,
-                    self.facts)
+        role = Role(
+            child.number, child.life, self.document, theirs, self.listening, self.files, self.tap, self.facts
+        )
         sys.stderr.flush()
         parent = os.getpid()
         pid = os.fork()
@@ -156,7 +164,9 @@
             signal.set_wakeup_fd(-1)
             for number in (signal.SIGTERM, signal.SIGCHLD):
                 signal.signal(number, signal.SIG_DFL)
-            signal.signal(signal.SIGINT, signal.SIG_IGN)    # a terminal's goes to all: the supervisor sees to it
+            signal.signal(
+                signal.SIGINT, signal.SIG_IGN
+            )  # a terminal's goes to all: the supervisor sees to it
             ours.close()
             self.selector.close()
             for child in self.children.values():
@@ -165,8 +175,13 @@
             code = self.work(role)
         except BaseException as error:  # noqa: BLE001 - nothing of it may come back into the supervisor's code
             where = traceback.extract_tb(error.__traceback__)[-1] if error.__traceback__ else None
-            self.note("internal_error", level="error", part=role.number, error=repr(error),
-                      where=f"{where.name}:{where.lineno}" if where else None)
+            self.note(
+                "internal_error",
+                level="error",
+                part=role.number,
+                error=repr(error),
+                where=f"{where.name}:{where.lineno}" if where else None,
+            )
         finally:
             sys.stderr.flush()
             os._exit(code)
@@ -178,7 +193,7 @@
             message = json.dumps({"meet": peer.number, "life": peer.life}).encode()
             try:
                 socket.send_fds(child.control, [message], [sock.fileno()])
-            except OSError:                 # it has just ended, or does not listen at all
+            except OSError:  # it has just ended, or does not listen at all
                 self._kill(child)
         for sock in ends:
             sock.close()
@@ -202,8 +217,14 @@
                 if not self._started and all(c.ready for c in self.children.values()):
                     self._started = True
                     agent = self.document.agent
-                    self.note("started", listen=self.address, me=agent.me, agents=agent.agents, cores=agent.cores,
-                              parts={c.number: c.pid for c in self.children.values()})
+                    self.note(
+                        "started",
+                        listen=self.address,
+                        me=agent.me,
+                        agents=agent.agents,
+                        cores=agent.cores,
+                        parts={c.number: c.pid for c in self.children.values()},
+                    )
 
     def _reap(self) -> None:
         for child in self.children.values():
@@ -221,8 +242,14 @@
             child.control.close()
             child.control = None
         child.due = child.tending.again(now)
-        self.note("part_ended", level="info" if code == 0 else "error", part=child.number, life=child.life, code=code,
-                  again=(child.due - now) // 1000)
+        self.note(
+            "part_ended",
+            level="info" if code == 0 else "error",
+            part=child.number,
+            life=child.life,
+            code=code,
+            again=(child.due - now) // 1000,
+        )
 
     def _end_all(self, signals: int) -> None:
         """Carrying parts drain, or answer what is owed at once; the deciding part ends when they have."""
@@ -238,7 +265,9 @@
 
     def _end_decider(self) -> None:
         child = self.children[DECIDER]
-        if child.control is not None and not any(c.pid for c in self.children.values() if c.number != DECIDER):
+        if child.control is not None and not any(
+            c.pid for c in self.children.values() if c.number != DECIDER
+        ):
             try:
                 child.control.send(json.dumps({"end": True}).encode())
             except OSError:
--- a/cartweir/hosting/alarms.py
+++ b/cartweir/hosting/alarms.py
@@ -1,4 +1,5 @@
 """The alarms that an engine asks for, on the loop's clock."""
+
 from __future__ import annotations
 
 import heapq
@@ -37,5 +38,5 @@
         try:
             if due:
                 self.ring()
-        finally:                    # whatever goes wrong there, the next one fires
+        finally:  # whatever goes wrong there, the next one fires
             self._schedule()
--- a/cartweir/hosting/clock.py
+++ b/cartweir/hosting/clock.py
@@ -1,4 +1,5 @@
 """The time of one agent: the machine's monotonic clock in whole microseconds, and what a stall does to it."""
+
 from __future__ import annotations
 
 import asyncio
@@ -7,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-OVERSLEPT = 10_000      # microseconds beyond its time-out by which a selector that was not stopped has returned
+OVERSLEPT = 10_000  # microseconds beyond its time-out by which a selector that was not stopped has returned
 
 
 def monotonic() -> int:
@@ -23,7 +24,7 @@
         super().__init__()
         self._back = monotonic()
         self._overslept = False
-        self._since = deque([self._back] * 3, 3)        # of this turn and the two before
+        self._since = deque([self._back] * 3, 3)  # of this turn and the two before
 
     def select(self, timeout: float | None = None) -> list:
         entered = monotonic()
@@ -32,7 +33,7 @@
         overslept = timeout is not None and back > entered + int(timeout * 1e6) + OVERSLEPT
         if overslept:
             since = entered
-        elif self._overslept:           # a wait that was broken off has not even looked
+        elif self._overslept:  # a wait that was broken off has not even looked
             since = self._since[-1]
         else:
             since = self._back if back - entered < 200 else back
@@ -50,7 +51,9 @@
     """Told by beat() every `heartbeat`, so that no turn waits longer than that. `turns` is the selector of the loop
     that runs; without one, what is dealt with now is taken to have come now."""
 
-    def __init__(self, heartbeat: int, turns: Turns | None = None, read: Callable[[], int] = monotonic) -> None:
+    def __init__(
+        self, heartbeat: int, turns: Turns | None = None, read: Callable[[], int] = monotonic
+    ) -> None:
         self.heartbeat, self.turns, self.now = heartbeat, turns, read
         self.last = self.now()
 
--- a/cartweir/hosting/ending.py
+++ b/cartweir/hosting/ending.py
@@ -1,4 +1,5 @@
 """How a process that holds clients' calls ends: at once, or when it owes nothing any more."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -11,6 +12,7 @@
 
 class Front(Protocol):
     """What clients are connected to."""
+
     @property
     def unsent(self) -> int:
         """Bytes that they have not been given yet."""
@@ -22,8 +24,17 @@
 class Ending:
     """held: how many calls are owed an answer; give_up: answers them; close: the end. Times in microseconds."""
 
-    def __init__(self, now: Callable[[], int], tick: int, drain_time: int, front: Front, held: Callable[[], int],
-                 give_up: Callable[[], None], close: Callable[[], None], note: Note) -> None:
+    def __init__(
+        self,
+        now: Callable[[], int],
+        tick: int,
+        drain_time: int,
+        front: Front,
+        held: Callable[[], int],
+        give_up: Callable[[], None],
+        close: Callable[[], None],
+        note: Note,
+    ) -> None:
         self.now, self.tick, self.drain_time = now, tick, drain_time
         self.front, self.held, self.give_up, self.close, self.note = front, held, give_up, close, note
         self._loop = IOLoop.current()
--- a/cartweir/hosting/known.py
+++ b/cartweir/hosting/known.py
@@ -1,5 +1,6 @@
 """The platform's settings object as the plain map of our names: the simulator's first message to an instance and a real
 agent's configuration hold the same one. No decision, no value of our own but what an absence means."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -9,39 +10,69 @@
 
 EFFECTS = {"retryable": ours.IDEMPOTENT, "dedup": ours.FINGERPRINTED, "fragile": ours.SIDE_EFFECTING}
 CONTROLS = {"first_voice": "any", "by_count": "share", "automatic": "timer"}
-LOADS = {"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "mean_ms", "rps": "rate",
-         "err_rps": "error_rate"}
+LOADS = {
+    "active": "inflight",
+    "waiting": "queue",
+    "cpu": "util",
+    "avg_ms": "mean_ms",
+    "rps": "rate",
+    "err_rps": "error_rate",
+}
 SCOPES = {"all": "all", "zone": "zone", "cell": "cell"}
 REPORTS = {"inline": "answers", "on_probe": "probe", "off": "none"}
 # Our name of a setting -> where the wire keeps it, its kind, and what its absence means.
 SETTINGS: dict[str, tuple[str, str, Any]] = {
-    "agents": ("balancers", "some number", 1), "me": ("me", "number", 0), "zone": ("zone", "text", ""),
-    "tick": ("tick", "time", 1000), "may_mark_retries": ("clients.marksRetry", "flag", False),
+    "agents": ("balancers", "some number", 1),
+    "me": ("me", "number", 0),
+    "zone": ("zone", "text", ""),
+    "tick": ("tick", "time", 1000),
+    "may_mark_retries": ("clients.marksRetry", "flag", False),
     "over_share_value": ("overShareWorth", "number", 1.0),
-    "may_cancel": ("allowed.cancel", "flag", False), "may_probe": ("allowed.probing", "flag", False),
-    "may_message": ("allowed.peers", "flag", False), "may_duplicate": ("allowed.mayDuplicate", "flag", False),
-    "may_advise": ("allowed.retryAfter", "flag", False), "max_advice": ("allowed.maxRetryAfter", "time", 0),
-    "dispatch_limit": ("allowed.tryLimit", "some number", 1), "max_open": ("allowed.maxOpen", "number", 0),
+    "may_cancel": ("allowed.cancel", "flag", False),
+    "may_probe": ("allowed.probing", "flag", False),
+    "may_message": ("allowed.peers", "flag", False),
+    "may_duplicate": ("allowed.mayDuplicate", "flag", False),
+    "may_advise": ("allowed.retryAfter", "flag", False),
+    "max_advice": ("allowed.maxRetryAfter", "time", 0),
+    "dispatch_limit": ("allowed.tryLimit", "some number", 1),
+    "max_open": ("allowed.maxOpen", "number", 0),
     "connect_timeout": ("allowed.connectTimeout", "some time", 250_000),
-    "per_connection": ("allowed.streamsPerConn", "number", 1), "idle_time": ("allowed.keepalive", "time", 0),
-    "cold_share": ("safety.coldFrom", "number", 1.0), "warm_time": ("safety.warmAfter", "time", 0),
-    "fall_multiple": ("safety.fallMultiple", "number", 1.0), "fall_time": ("safety.fall", "some time", 1_000_000),
-    "drain_grace": ("safety.drainGrace", "time", 0), "answer_grace": ("safety.graceToAnswer", "time", 0),
-    "ask_within": ("safety.askWithin", "time", 0), "control": ("familyInfo.control", "control", "any"),
-    "per_operation": ("familyInfo.per", "per", False), "in_place": ("familyInfo.style", "style", False),
-    "window": ("familyInfo.span", "some time", 1_000_000), "free": ("familyInfo.spareTries", "number", 0.0),
-    "caps": ("familyInfo.mostShares", "list", ()), "shares": ("familyInfo.steps", "list", ()),
-    "guarded_stages": ("familyInfo.closedStages", "number", 0), "one_way": ("familyInfo.oneWay", "flag", False),
-    "bake_time": ("familyInfo.leastStage", "time", 0), "step_time": ("familyInfo.autoAfter", "time", 0),
-    "on_votes": ("familyInfo.votesToGo", "number", 0), "hold_votes": ("familyInfo.toPause", "number", 0),
-    "back_votes": ("familyInfo.noesNeeded", "some number", 1), "vote_life": ("familyInfo.ballotTtl", "some time", 1_000_000),
+    "per_connection": ("allowed.streamsPerConn", "number", 1),
+    "idle_time": ("allowed.keepalive", "time", 0),
+    "cold_share": ("safety.coldFrom", "number", 1.0),
+    "warm_time": ("safety.warmAfter", "time", 0),
+    "fall_multiple": ("safety.fallMultiple", "number", 1.0),
+    "fall_time": ("safety.fall", "some time", 1_000_000),
+    "drain_grace": ("safety.drainGrace", "time", 0),
+    "answer_grace": ("safety.graceToAnswer", "time", 0),
+    "ask_within": ("safety.askWithin", "time", 0),
+    "control": ("familyInfo.control", "control", "any"),
+    "per_operation": ("familyInfo.per", "per", False),
+    "in_place": ("familyInfo.style", "style", False),
+    "window": ("familyInfo.span", "some time", 1_000_000),
+    "free": ("familyInfo.spareTries", "number", 0.0),
+    "caps": ("familyInfo.mostShares", "list", ()),
+    "shares": ("familyInfo.steps", "list", ()),
+    "guarded_stages": ("familyInfo.closedStages", "number", 0),
+    "one_way": ("familyInfo.oneWay", "flag", False),
+    "bake_time": ("familyInfo.leastStage", "time", 0),
+    "step_time": ("familyInfo.autoAfter", "time", 0),
+    "on_votes": ("familyInfo.votesToGo", "number", 0),
+    "hold_votes": ("familyInfo.toPause", "number", 0),
+    "back_votes": ("familyInfo.noesNeeded", "some number", 1),
+    "vote_life": ("familyInfo.ballotTtl", "some time", 1_000_000),
     "vote_allowance": ("familyInfo.voteAllowance", "number", 1.0),
     "vote_timeout": ("familyInfo.callTimeout", "some time", 1_000_000),
-    "repeat_time": ("familyInfo.repeatEvery", "time", 0), "flag_share": ("familyInfo.foundShare", "number", 0.0),
-    "tally_time": ("familyInfo.metricsPeriod", "time", 0), "tally_share": ("familyInfo.sample", "number", 0.0),
-    "delay_price": ("familyInfo.lagFee", "number", 0.0), "harm_price": ("familyInfo.blastPrice", "number", 0.0),
-    "warm_keys": ("familyInfo.warmKeys", "flag", False), "zone_price": ("tariffs.crossZone", "number", 0.0),
-    "waste_price": ("tariffs.waste", "number", 0.0), "connect_price": ("tariffs.handshake", "number", 0.0),
+    "repeat_time": ("familyInfo.repeatEvery", "time", 0),
+    "flag_share": ("familyInfo.foundShare", "number", 0.0),
+    "tally_time": ("familyInfo.metricsPeriod", "time", 0),
+    "tally_share": ("familyInfo.sample", "number", 0.0),
+    "delay_price": ("familyInfo.lagFee", "number", 0.0),
+    "harm_price": ("familyInfo.blastPrice", "number", 0.0),
+    "warm_keys": ("familyInfo.warmKeys", "flag", False),
+    "zone_price": ("tariffs.crossZone", "number", 0.0),
+    "waste_price": ("tariffs.waste", "number", 0.0),
+    "connect_price": ("tariffs.handshake", "number", 0.0),
     "probe_price": ("tariffs.probe", "number", 0.0),
 }
 
@@ -102,7 +133,7 @@
     match kind:
         case "time":
             return _time(value, path)
-        case "some time":                   # of which 0 could only mean that none is given
+        case "some time":  # of which 0 could only mean that none is given
             return _time(value, path) or absent
         case "number":
             return _number(value, path)
@@ -131,26 +162,36 @@
     def of(name: str, absent: Any) -> Any:
         value = row.get(name)
         return absent if value is None else value
+
     limit = _time(of("hardLimit", 0), f"{place}.hardLimit")
     return Operation(
-        name=row["name"], effect=_one_of(of("effect", "fragile"), EFFECTS, f"{place}.effect"),
+        name=row["name"],
+        effect=_one_of(of("effect", "fragile"), EFFECTS, f"{place}.effect"),
         group=_one_of(of("dedupScope", "cell"), SCOPES, f"{place}.dedupScope"),
-        window=_time(of("window", 0), f"{place}.window"), slo_time=_time(of("aim", 0), f"{place}.aim") or limit,
-        time_limit=limit, billed_value=float(_number(of("worth", 1), f"{place}.worth")),
-        late_value=float(_number(of("lateValue", 0), f"{place}.lateValue")), stream=bool(of("stream", False)))
+        window=_time(of("window", 0), f"{place}.window"),
+        slo_time=_time(of("aim", 0), f"{place}.aim") or limit,
+        time_limit=limit,
+        billed_value=float(_number(of("worth", 1), f"{place}.worth")),
+        late_value=float(_number(of("lateValue", 0), f"{place}.lateValue")),
+        stream=bool(of("stream", False)),
+    )
 
 
 def known_from(params: dict[str, Any]) -> dict[str, Any]:
     """The settings as a plain map of our names to values. Raises SettingError."""
     known = {name: _setting(params, *where) for name, where in SETTINGS.items()}
     known["operations"] = tuple(_operation(row, place) for place, row in _rows(params, "classes"))
-    known["quotas"] = {row["name"]: float(_number(row.get("quotaRps") or 0, f"{place}.quotaRps"))
-                       for place, row in _rows(params, "parties")}
+    known["quotas"] = {
+        row["name"]: float(_number(row.get("quotaRps") or 0, f"{place}.quotaRps"))
+        for place, row in _rows(params, "parties")
+    }
     zones = params.get("failureDomains") or ()
     if not isinstance(zones, (list, tuple)):
         raise _wrong("failureDomains", zones, "a list of zones")
     known["zones"] = tuple(zones)
-    known["must_ask"] = _one_of(params.get("registryMode") or "pushed", {"pushed": False, "on_request": True}, "registryMode")
+    known["must_ask"] = _one_of(
+        params.get("registryMode") or "pushed", {"pushed": False, "on_request": True}, "registryMode"
+    )
     report = _object(params.get("report"), "report")
     known["load_reports"] = REPORTS.get(report.get("how", "off"), "none")
     known["value_by_work"] = params.get("worthBy") == "work"
--- a/cartweir/hosting/pools.py
+++ b/cartweir/hosting/pools.py
@@ -1,4 +1,5 @@
 """Which connections lead to which appliance, whatever is spoken on them."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -9,6 +10,7 @@
 
 class Kept(Protocol):
     """Connections to one address."""
+
     address: str
 
     def retire(self) -> None:
--- a/cartweir/hosting/roster.py
+++ b/cartweir/hosting/roster.py
@@ -3,6 +3,7 @@
 The same process keeps its object through every news; another start or another build under an old ident is
 another appliance, and the one before it is gone. Used by the drill and by the running agent.
 """
+
 from __future__ import annotations
 
 from collections.abc import Hashable, Iterable
@@ -14,10 +15,11 @@
 @dataclass(eq=False, slots=True)
 class Row:
     """One entry of news; None: the news does not say."""
+
     ident: str
     build: int | None = 0
-    run: Hashable = 0               # tells the starts of a process apart; 0: not told
-    started: int | None = 0         # by the host's clock; 0: long ago
+    run: Hashable = 0  # tells the starts of a process apart; 0: not told
+    started: int | None = 0  # by the host's clock; 0: long ago
     state: str = READY
     zone: str | None = None
     cell: int | None = None
@@ -25,14 +27,14 @@
     weight: float | None = None
 
 
-SPARE_GONE = 1_024      # gone appliances that are kept beside as many as stand: reports of them, and their return, may still come
+SPARE_GONE = 1_024  # gone appliances that are kept beside as many as stand: reports of them, and their return, may still come
 
 
 class Roster:
     def __init__(self) -> None:
         self.appliances: dict[str, Appliance] = {}
         self._runs: dict[str, Hashable] = {}
-        self._gone: dict[str, None] = {}            # in the order in which they went
+        self._gone: dict[str, None] = {}  # in the order in which they went
 
     def apply(self, whole: bool, rows: Iterable[Row]) -> list[Appliance]:
         """The appliances that the news concerns, in its order; `whole`: what it does not name is gone."""
--- a/cartweir/hosting/seat.py
+++ b/cartweir/hosting/seat.py
@@ -4,6 +4,7 @@
 Whatever happens outside comes in by the methods under 'in', each of which first lets overdue timers run, so that
 nothing is begun for an invocation whose time passed while the process stood still.
 """
+
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -15,7 +16,7 @@
 from ..interface import Appliance, Dispatch, Invocation, Operation, Outcome, Stage, Tally, Throttle
 from .roster import Roster, Row
 
-Headers = Sequence[tuple[bytes, bytes]]         # of an answer, whatever it came by
+Headers = Sequence[tuple[bytes, bytes]]  # of an answer, whatever it came by
 
 
 class Call(Protocol):
@@ -50,6 +51,7 @@
 
 def answering(method: Callable[..., Any]) -> Callable[..., Any]:
     """Guards against faults of ours: they are raised as they were, but whoever they have broken off is answered first."""
+
     @wraps(method)
     def entered(self: Seat, *arguments: Any, **more: Any) -> Any:
         try:
@@ -59,6 +61,7 @@
                 inv.concluded = True
                 self.terminate(inv)
             raise
+
     return entered
 
 
@@ -68,26 +71,38 @@
     def __init__(self, world: World, known: Mapping[str, Any], seed: int) -> None:
         self.world = world
         self.known = known
-        self.operations: dict[str, Operation] = {operation.name: operation for operation in known["operations"]}
+        self.operations: dict[str, Operation] = {
+            operation.name: operation for operation in known["operations"]
+        }
         self.roster = Roster()
-        self.calls: dict[Invocation, Call] = {}             # invocations that are owed an answer
-        self.attempts: dict[Dispatch, Attempt] = {}         # dispatches that are out
-        self.lag = 0                # by how long what is told now was held up before it came here
+        self.calls: dict[Invocation, Call] = {}  # invocations that are owed an answer
+        self.attempts: dict[Dispatch, Attempt] = {}  # dispatches that are out
+        self.lag = 0  # by how long what is told now was held up before it came here
         self._count = 0
-        self._word: tuple | None = None                     # of the newest build, as last noted
+        self._word: tuple | None = None  # of the newest build, as last noted
         self.engine = Engine(world.now(), seed, known, self)
 
     # ---- out: the Door ----
     def dispatch(self, dispatch: Dispatch) -> None:
         inv = dispatch.invocation
         call = self.calls.get(inv)
-        if call is None or inv.streaming or self.engine.now >= inv.expires or (
-                dispatch.number >= self.known["dispatch_limit"]) or dispatch.appliance.state == ours.GONE:
+        if (
+            call is None
+            or inv.streaming
+            or self.engine.now >= inv.expires
+            or (dispatch.number >= self.known["dispatch_limit"])
+            or dispatch.appliance.state == ours.GONE
+        ):
             self.world.soon(lambda: self.ended(dispatch, ours.MOOT))
             return
         self.attempts[dispatch] = self.world.start(dispatch, call)
-        self.world.note("dispatch", invocation=inv.ident, dispatch=dispatch.number,
-                        appliance=dispatch.appliance.ident, build=dispatch.appliance.build)
+        self.world.note(
+            "dispatch",
+            invocation=inv.ident,
+            dispatch=dispatch.number,
+            appliance=dispatch.appliance.ident,
+            build=dispatch.appliance.build,
+        )
 
     def cancel(self, dispatch: Dispatch) -> None:
         attempt = self.attempts.get(dispatch)
@@ -107,8 +122,14 @@
         call = self.calls.pop(inv, None)
         if call is not None:
             give(call)
-            self.world.note("answer", invocation=inv.ident, operation=inv.operation.name, how=how,
-                            dispatches=len(inv.dispatches), took=self.engine.now - inv.taken)
+            self.world.note(
+                "answer",
+                invocation=inv.ident,
+                operation=inv.operation.name,
+                how=how,
+                dispatches=len(inv.dispatches),
+                took=self.engine.now - inv.taken,
+            )
 
     def set_timer(self, due: int) -> None:
         self.world.alarm_at(due)
@@ -156,13 +177,25 @@
         self.engine.settle()
 
     @answering
-    def take(self, call: Call, operation: Operation, arrived: int, limit: int, ident: int | None = None,
-             **facts: Any) -> Invocation:
+    def take(
+        self,
+        call: Call,
+        operation: Operation,
+        arrived: int,
+        limit: int,
+        ident: int | None = None,
+        **facts: Any,
+    ) -> Invocation:
         """A whole call has come in; limit: how long after `arrived` its client waits; ident: where it has one."""
         self.enter()
         self._count += 1
-        inv = Invocation(self._count if ident is None else ident, operation, min(arrived, self.engine.now),
-                         arrived + min(limit, operation.time_limit), **facts)
+        inv = Invocation(
+            self._count if ident is None else ident,
+            operation,
+            min(arrived, self.engine.now),
+            arrived + min(limit, operation.time_limit),
+            **facts,
+        )
         self.calls[inv] = call
         self.engine.take(inv)
         self.engine.settle()
@@ -193,8 +226,14 @@
         return True
 
     @answering
-    def ended(self, dispatch: Dispatch, how: str, load: Mapping[str, float] | None = None,
-              answer: tuple[Headers, list[bytes], Headers] | None = None, passed: bool = False) -> None:
+    def ended(
+        self,
+        dispatch: Dispatch,
+        how: str,
+        load: Mapping[str, float] | None = None,
+        answer: tuple[Headers, list[bytes], Headers] | None = None,
+        passed: bool = False,
+    ) -> None:
         """A dispatch has ended. answer: what succeeded, to be passed on; passed: it was already being."""
         if dispatch.ended is not None:
             return
@@ -205,13 +244,17 @@
             self._answer(inv, "succeeded", lambda call: call.succeed(*(answer or ((), [], ()))))
         elif passed:
             self._answer(inv, "terminated", lambda call: call.terminate())
-        self.engine.outcome(Outcome(dispatch, how, self.engine.now - dispatch.sent, inv not in self.calls, load))
+        self.engine.outcome(
+            Outcome(dispatch, how, self.engine.now - dispatch.sent, inv not in self.calls, load)
+        )
         self.engine.settle()
         if inv.steps is None and all(d.ended is not None for d in inv.dispatches):
-            inv.dispatches = []             # each knows its invocation: no cycle is left to the collector
+            inv.dispatches = []  # each knows its invocation: no cycle is left to the collector
 
     @answering
-    def probed(self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None) -> None:
+    def probed(
+        self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
+    ) -> None:
         self.enter()
         self.engine.probed(appliance, answered, took, load)
         self.engine.settle()
--- a/cartweir/hosting/tcp.py
+++ b/cartweir/hosting/tcp.py
@@ -1,5 +1,6 @@
 """TCP on the loop, below any protocol: Tornado's streams made with a time-out, and bare sockets for whoever must know how
 much of what it wrote the kernel has taken."""
+
 from __future__ import annotations
 
 import asyncio
@@ -11,7 +12,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-CHUNK = 64 * 1024           # read at a time
+CHUNK = 64 * 1024  # read at a time
 
 
 class LinkStream(IOStream):
@@ -33,12 +34,15 @@
     stream = LinkStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=4 * CHUNK)
     try:
         await asyncio.wait_for(stream.connect((host, port)), timeout / 1e6)
-    except asyncio.CancelledError:          # the loop would hold on to it for as long as nobody answers there
+    except asyncio.CancelledError:  # the loop would hold on to it for as long as nobody answers there
         stream.close()
         raise
     except StreamClosedError as error:
-        raise error.real_error if isinstance(error.real_error, OSError) else OSError(
-            errno.ECONNABORTED, "connection closed") from None
+        raise (
+            error.real_error
+            if isinstance(error.real_error, OSError)
+            else OSError(errno.ECONNABORTED, "connection closed")
+        ) from None
     except (asyncio.TimeoutError, TimeoutError):
         stream.close()
         raise OSError(errno.ETIMEDOUT, f"no connection within {timeout / 1000:.0f} ms") from None
@@ -72,7 +76,7 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
-            pass                            # it broke off already: the reader hears of it
+            pass  # it broke off already: the reader hears of it
         loop.add_reader(self._fd, self._readable)
 
     @property
@@ -127,7 +131,7 @@
 
     def _writable(self) -> None:
         try:
-            self._unsent = self._unsent[self.socket.send(self._unsent):]
+            self._unsent = self._unsent[self.socket.send(self._unsent) :]
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
@@ -156,13 +160,20 @@
 class Connecting:
     """A connection being made. `done` is told the connected socket, or None and why there is none."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: str, timeout: int,
-                 done: Callable[[socket.socket | None, str], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: str,
+        timeout: int,
+        done: Callable[[socket.socket | None, str], None],
+    ) -> None:
         self.loop, self._done, self._timer, self._socket = loop, done, None, None
         try:
             target = split_address(address)
-            self._socket = sock = socket.socket(socket.AF_INET6 if ":" in target[0] else socket.AF_INET,
-                                                socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+            self._socket = sock = socket.socket(
+                socket.AF_INET6 if ":" in target[0] else socket.AF_INET,
+                socket.SOCK_STREAM | socket.SOCK_NONBLOCK,
+            )
             error = sock.connect_ex(target)
         except (OSError, ValueError) as fault:
             why = str(getattr(fault, "strerror", None) or fault)
--- a/cartweir/hosting/waits.py
+++ b/cartweir/hosting/waits.py
@@ -1,4 +1,5 @@
 """Waits between tries to connect."""
+
 from __future__ import annotations
 
 import random
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -1,5 +1,6 @@
 """One agent of several parts within this process: real deciding part, desks, links and fronts on real sockets, whose
 pipes a test can hold up, so that each order of events is caused and not waited for."""
+
 from __future__ import annotations
 
 import asyncio
@@ -10,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
+from peers import Appliance, Client, Log, settings
 from tornado.ioloop import IOLoop
 
-from cartweir.hosting.clock import Clock
 from cartweir.agent.daemon import bounds_of, methods_of, operations_of, reach_of
 from cartweir.agent.front import Front
 from cartweir.agent.links import Links
@@ -21,11 +22,11 @@
 from cartweir.cores.desk import Desk
 from cartweir.cores.part import LIVES
 from cartweir.cores.pipe import Pipe, pair
+from cartweir.hosting.clock import Clock
 from cartweir.proto import agent_pb2 as pb
 from cartweir.settings.ini import read_agent
-from cartweir.wire.calls import Service
-from peers import Appliance, Client, Log, settings
 from cartweir.standin.registry import Registry
+from cartweir.wire.calls import Service
 
 
 class Conveyor(Service):
@@ -60,9 +61,19 @@
         self.clock = Clock(document.agent.heartbeat)
         self.links = Links(reach_of(document, document.agent.cores), self.clock.now, note)
         known = {**document.decision_settings(), "operations": operations_of(document)}
-        self.desk = self.links.seat = Desk(number, document.agent.cores, known, self.clock, self.links, note,
-                                           itertools.count(number * LIVES), number)
-        self.front = Front(self.desk, methods_of(document, self.desk.operations), bounds_of(document), self.clock, note, {})
+        self.desk = self.links.seat = Desk(
+            number,
+            document.agent.cores,
+            known,
+            self.clock,
+            self.links,
+            note,
+            itertools.count(number * LIVES),
+            number,
+        )
+        self.front = Front(
+            self.desk, methods_of(document, self.desk.operations), bounds_of(document), self.clock, note, {}
+        )
         self.address = self.front.listen("127.0.0.1:0")
         self._beat()
 
@@ -75,7 +86,9 @@
         """What the deciding part says lies unread: as if this part had been stopped."""
         pipe = self.desk.decider
         pipe._loop.remove_handler(pipe._sock)
-        pipe._loop.remove_handler = lambda sock, real=pipe._loop.remove_handler: real(sock) if sock is not pipe._sock else None
+        pipe._loop.remove_handler = lambda sock, real=pipe._loop.remove_handler: (
+            real(sock) if sock is not pipe._sock else None
+        )
 
     def hears(self) -> None:
         pipe = self.desk.decider
@@ -101,8 +114,13 @@
         self.appliances: list[Appliance] = []
         self.clients: list[Client] = []
         agent = f"cores = {cores}\n" + more.pop("agent", "")
-        file = settings(folder, self.registry.listen_on("127.0.0.1:0"), self.conveyor.listen_on("127.0.0.1:0"),
-                        agent=agent, **more)
+        file = settings(
+            folder,
+            self.registry.listen_on("127.0.0.1:0"),
+            self.conveyor.listen_on("127.0.0.1:0"),
+            agent=agent,
+            **more,
+        )
         self.document = read_agent(file)
         self.files = new_files()
         self.lives = 0
@@ -148,7 +166,9 @@
         appliance = Appliance(act)
         appliance.name = f"a{len(self.appliances)}"
         self.appliances.append(appliance)
-        appliance.entry = pb.Entry(appliance=appliance.name, address=await appliance.listen(), build=build, run=run)
+        appliance.entry = pb.Entry(
+            appliance=appliance.name, address=await appliance.listen(), build=build, run=run
+        )
         self.registry.put(appliance.entry)
         return appliance
 
@@ -174,7 +194,9 @@
 
 
 @contextlib.asynccontextmanager
-async def parts(folder: Path, *acts: Any, cores: int = 2, stage: tuple | None = None, **more: str) -> AsyncIterator[Parts]:
+async def parts(
+    folder: Path, *acts: Any, cores: int = 2, stage: tuple | None = None, **more: str
+) -> AsyncIterator[Parts]:
     """acts: of one appliance each, or (act, build). stage: build, number, phase, cap."""
     it = Parts(folder, cores, dict(more))
     for act in acts:
@@ -182,8 +204,13 @@
     if stage is not None:
         it.conveyor.tell(*stage)
     it.decide()
-    await it.knows(lambda desk: len(desk.appliances) == len(acts) and not desk.silence.alone and (
-        stage is None or desk.stage is not None))
+    await it.knows(
+        lambda desk: (
+            len(desk.appliances) == len(acts)
+            and not desk.silence.alone
+            and (stage is None or desk.stage is not None)
+        )
+    )
     try:
         yield it
     finally:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,5 +1,6 @@
 """The other sides of an agent under test: scripted appliances and clients on h2 itself, which share no code with
 the program's HTTP/2, and an agent in this process or in one of its own."""
+
 from __future__ import annotations
 
 import asyncio
@@ -15,8 +16,16 @@
 
 from h2.config import H2Configuration
 from h2.connection import H2Connection
-from h2.events import (ConnectionTerminated, DataReceived, RequestReceived, ResponseReceived, StreamEnded, StreamReset,
-                       TrailersReceived, WindowUpdated)
+from h2.events import (
+    ConnectionTerminated,
+    DataReceived,
+    RequestReceived,
+    ResponseReceived,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
+    WindowUpdated,
+)
 from h2.exceptions import ProtocolError
 from h2.settings import SettingCodes
 
@@ -74,7 +83,12 @@
 [log]
 format = json
 """
-VIEW, ORDER, ISSUE, TILES = ("/maps.Parcels/View", "/maps.Extracts/Order", "/maps.Extracts/Issue", "/maps.Parcels/Tiles")
+VIEW, ORDER, ISSUE, TILES = (
+    "/maps.Parcels/View",
+    "/maps.Extracts/Order",
+    "/maps.Extracts/Issue",
+    "/maps.Parcels/Tiles",
+)
 
 
 def framed(message: bytes) -> bytes:
@@ -84,8 +98,15 @@
 class Peer:
     """One h2 connection over asyncio streams, either end; `heard` tells everything in order."""
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, client: bool,
-                 on_event: Callable[[Peer, Any], None], window: int = 65_535, grant: bool = True) -> None:
+    def __init__(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        client: bool,
+        on_event: Callable[[Peer, Any], None],
+        window: int = 65_535,
+        grant: bool = True,
+    ) -> None:
         self.reader, self.writer, self.on_event, self.grant = reader, writer, on_event, grant
         self.h2 = H2Connection(H2Configuration(client_side=client, header_encoding="utf-8"))
         self.h2.initiate_connection()
@@ -118,12 +139,16 @@
         with contextlib.suppress(ProtocolError, ConnectionError, KeyError):
             while sent < len(data):
                 self.room.clear()
-                size = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size, len(data) - sent)
+                size = min(
+                    self.h2.local_flow_control_window(stream),
+                    self.h2.max_outbound_frame_size,
+                    len(data) - sent,
+                )
                 if size <= 0:
                     self.write()
                     await self.room.wait()
                     continue
-                self.h2.send_data(stream, data[sent:sent + size])
+                self.h2.send_data(stream, data[sent : sent + size])
                 sent += size
                 self.sent = sent
         self.write()
@@ -209,8 +234,12 @@
 
 def trailers_only(status: str) -> Callable[..., None]:
     def act(who: Appliance, peer: Peer, stream: int, number: int) -> None:
-        peer.h2.send_headers(stream, [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", status)],
-                             end_stream=True)
+        peer.h2.send_headers(
+            stream,
+            [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", status)],
+            end_stream=True,
+        )
+
     return act
 
 
@@ -220,6 +249,7 @@
         if await peer.send_all(stream, framed(b"x" * size)) == size + 5:
             tail(peer, stream)
             peer.write()
+
     return act
 
 
@@ -256,11 +286,23 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         return cls(Peer(reader, writer, True, lambda peer, event: _note(calls, event), window, grant), calls)
 
-    def call(self, path: str, body: bytes = framed(b"please"), timeout: str | None = "2S", end: bool = True,
-             **metadata: str) -> Answered:
+    def call(
+        self,
+        path: str,
+        body: bytes = framed(b"please"),
+        timeout: str | None = "2S",
+        end: bool = True,
+        **metadata: str,
+    ) -> Answered:
         stream = self.peer.h2.get_next_available_stream_id()
-        headers = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", "agent"), ("te", "trailers"),
-                   ("content-type", "application/grpc")]
+        headers = [
+            (":method", "POST"),
+            (":scheme", "http"),
+            (":path", path),
+            (":authority", "agent"),
+            ("te", "trailers"),
+            ("content-type", "application/grpc"),
+        ]
         if timeout is not None:
             headers.append(("grpc-timeout", timeout))
         headers += [(name.replace("_", "-"), value) for name, value in metadata.items()]
@@ -282,7 +324,11 @@
 
 
 def _note(calls: dict[int, Answered], event: Any) -> None:
-    if isinstance(event, ConnectionTerminated) or event.stream_id not in calls if hasattr(event, "stream_id") else True:
+    if (
+        isinstance(event, ConnectionTerminated) or event.stream_id not in calls
+        if hasattr(event, "stream_id")
+        else True
+    ):
         return
     answered = calls[event.stream_id]
     if isinstance(event, (ResponseReceived, TrailersReceived)):
@@ -311,6 +357,7 @@
             for wanted, future in self.waiting:
                 if wanted == event and not future.done():
                     future.set_result(facts)
+
         return say
 
     def of(self, event: str) -> list[dict[str, Any]]:
@@ -336,7 +383,9 @@
         appliance = Appliance(act)
         appliance.name = f"a{len(self.appliances)}"
         self.appliances.append(appliance)
-        appliance.entry = pb.Entry(appliance=appliance.name, address=await appliance.listen(), build=build, run=1, zone=zone)
+        appliance.entry = pb.Entry(
+            appliance=appliance.name, address=await appliance.listen(), build=build, run=1, zone=zone
+        )
         self.registry.put(appliance.entry)
         return appliance
 
@@ -364,8 +413,13 @@
 
 
 @contextlib.asynccontextmanager
-async def rig(folder: Path, *acts: Callable[..., Any], conveyor: str = "127.0.0.1:9", ask: bool = False, **more: str,
-              ) -> AsyncIterator[Rig]:
+async def rig(
+    folder: Path,
+    *acts: Callable[..., Any],
+    conveyor: str = "127.0.0.1:9",
+    ask: bool = False,
+    **more: str,
+) -> AsyncIterator[Rig]:
     """An agent with a registry and one appliance an act; without a conveyor unless one is named. ask: the registry's
     list comes only when the decisions ask for it."""
     it = Rig()
@@ -389,7 +443,9 @@
 class Process:
     """An agent in a process of its own, from its start until it is stopped."""
 
-    def __init__(self, process: asyncio.subprocess.Process, lines: list[dict[str, Any]], address: str) -> None:
+    def __init__(
+        self, process: asyncio.subprocess.Process, lines: list[dict[str, Any]], address: str
+    ) -> None:
         self.process, self.lines, self.address = process, lines, address
         self.started.append(process)
         self._reader = asyncio.ensure_future(self._read())
@@ -408,8 +464,17 @@
     @classmethod
     async def start(cls, file: Path, *before: str) -> Process:
         process = await asyncio.create_subprocess_exec(
-            *before, sys.executable, "-m", "cartweir", "agent", "--settings", str(file), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, env={**os.environ, "PYTHONPATH": str(ROOT)})
+            *before,
+            sys.executable,
+            "-m",
+            "cartweir",
+            "agent",
+            "--settings",
+            str(file),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, "PYTHONPATH": str(ROOT)},
+        )
         lines: list[dict[str, Any]] = []
         while not (lines and lines[-1]["event"] == "started"):
             line = await process.stderr.readline()
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -1,4 +1,5 @@
 """What outlives the deciding part: torn writes, growth, a full page, another version."""
+
 from __future__ import annotations
 
 import os
@@ -89,7 +90,13 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(st.text(min_size=1, max_size=30).filter(lambda t: t.isprintable()), st.integers(0, 2**64 - 1))))
+@given(
+    st.lists(
+        st.tuples(
+            st.text(min_size=1, max_size=30).filter(lambda t: t.isprintable()), st.integers(0, 2**64 - 1)
+        )
+    )
+)
 def test_any_keys_come_back(entries):
     found = new_files()
     one = Book(found)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -1,27 +1,30 @@
 """One agent of several parts: what goes wrong between them, caused on real sockets within one process."""
+
 from __future__ import annotations
 
 import asyncio
 
 import peers
 import pytest
+from parts import parts, until
+from peers import ISSUE, ORDER, TILES, VIEW, answer, framed, large, nothing
+from test_calls import sockets
 
 from cartweir.cores import division
 from cartweir.cores import pipe as say
 from cartweir.proto import agent_pb2 as pb
-from parts import parts, until
-from peers import ISSUE, ORDER, TILES, VIEW, answer, framed, large, nothing
-from test_calls import sockets
 
 TRIAL = (2, 0, pb.ON_TRIAL, 1.0)
 
 
 def when(event):
     """Answers once the event is set."""
+
     async def act(who, peer, stream, number):
         await event.wait()
         answer(who, peer, stream, number)
         peer.write()
+
     return act
 
 
@@ -81,7 +84,11 @@
     size = 4 << 20
     async with parts(tmp_path, large(size), large(size), cores=2, appliances="connections = 1") as it:
         client = await it.client(1)
-        got = await finish(client.call(TILES, timeout="9S"), client.call(TILES, timeout="9S"), client.call(VIEW, timeout="9S"))
+        got = await finish(
+            client.call(TILES, timeout="9S"),
+            client.call(TILES, timeout="9S"),
+            client.call(VIEW, timeout="9S"),
+        )
         assert len(got.body) == size + 5 and got.status == "0"
         assert all(len(call.body) == size + 5 for call in client.calls.values())
 
@@ -93,10 +100,10 @@
         part, client = it.parts[0], await it.client(1)
         part.deaf()
         call = client.call(VIEW, timeout="1S")
-        await until(lambda: it.book.exposures())            # granted, written down, and not heard
+        await until(lambda: it.book.exposures())  # granted, written down, and not heard
         it.conveyor.tell(2, 0, pb.GOING_BACK, 0.0)
         await until(lambda: it.decider.seat.engine.agent.stage.cap == 0.0)
-        await asyncio.sleep(0.03)                           # the grant is older than a tick
+        await asyncio.sleep(0.03)  # the grant is older than a tick
         part.hears()
         await finish(call)
         assert call.tail["cartweir-answer"] == "throttled" and not it.appliances[0].requests
@@ -167,7 +174,7 @@
         client = await it.client(1)
         while len(it.appliances[2].requests) < 3:
             await finish(client.call(VIEW))
-        await asyncio.sleep(0.12)               # a beat later it is written down
+        await asyncio.sleep(0.12)  # a beat later it is written down
         worst = it.decider.seat.engine.agent.jury.worst()
         before, told = worst.log_ratio(), str(worst)
         assert before > 0.5
@@ -297,7 +304,7 @@
     async with parts(tmp_path, (answer, 1), (answer, 2), stage=TRIAL, cores=2) as it:
         clients, new = [await it.client(1), await it.client(2)], it.appliances[1]
         answered, step = {}, 0
-        while len(answered) < 6:                # until the trial has answered some keys
+        while len(answered) < 6:  # until the trial has answered some keys
             key, client = f"k{step}", clients[step % 2]
             seen = len(new.requests)
             await finish(client.call(VIEW, cartweir_key=key))
@@ -309,7 +316,9 @@
             it.decide()
             assert it.log.of("restored")[-1]["keys"] == len(answered)
         old = len(it.appliances[0].requests)
-        calls = [clients[1 - part].call(VIEW, cartweir_key=key, timeout="1S") for key, part in answered.items()]
+        calls = [
+            clients[1 - part].call(VIEW, cartweir_key=key, timeout="1S") for key, part in answered.items()
+        ]
         await finish(*calls)
         assert len(it.appliances[0].requests) == old
 
@@ -378,19 +387,29 @@
         old = await it.add(answer, build=1)
         desk, member = it.parts[0].desk, it.decider.members[1]
         await it.knows(lambda desk: len(desk.appliances) == 2)
-        it.set(old, pb.DRAINING)                # not for the decisions; the part may meet it
+        it.set(old, pb.DRAINING)  # not for the decisions; the part may meet it
         await until(lambda: len(it.decider.seat.engine.agent.fleet) == 1)
         desk.roster.appliances[old.name].state = "ready"
         heard, held = member.pipe._heard, []
         member.pipe._heard = held.append
         call = (await it.client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
         await until(lambda: any(message[0] == say.TAKE for message in held))
-        while held:                             # it is taken, and dispatched
+        while held:  # it is taken, and dispatched
             heard(held.pop(0))
         await until(lambda: any(case.answers for case in desk.cases.values()))
-        (ident, case), = desk.cases.items()
+        ((ident, case),) = desk.cases.items()
         assert not call.done.is_set()
-        desk.hear([say.DISPATCH, ident, 1, desk.marks[desk.roster.appliances[old.name]], 500_000, desk.clock.now(), 0])
+        desk.hear(
+            [
+                say.DISPATCH,
+                ident,
+                1,
+                desk.marks[desk.roster.appliances[old.name]],
+                500_000,
+                desk.clock.now(),
+                0,
+            ]
+        )
         await until(lambda: sum(message[0] == say.ENDED for message in held) == 2)
         member.pipe._heard = heard
         while held:
@@ -442,7 +461,7 @@
         cold = await it.add(answer)
         it.registry._started[cold.name] = 1
         await it.knows(lambda desk: len(desk.appliances) == 3)
-        for part in it.parts:                   # it has started just now, and none is cold in these settings but by
+        for part in it.parts:  # it has started just now, and none is cold in these settings but by
             part.desk.known = {**part.desk.known, "cold_share": 0.3, "warm_time": 60_000_000}
             part.desk.roster.appliances[cold.name].started = part.clock.now()
         it.decider_ends()
@@ -464,8 +483,8 @@
     """It stands still with calls that it has not dispatched; waking, it finds them withdrawn."""
     async with parts(tmp_path, answer, cores=2) as it:
         part, client, member = it.parts[0], await it.client(1), it.decider.members[1]
-        it.decider.loop.remove_handler(member.pipe._sock)          # it hears nothing,
-        it.decider._beat = lambda: None                            # and says nothing
+        it.decider.loop.remove_handler(member.pipe._sock)  # it hears nothing,
+        it.decider._beat = lambda: None  # and says nothing
         call = client.call(VIEW)
         await finish(call)
         assert call.status == "0" and len(it.appliances[0].requests) == 1
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -1,4 +1,5 @@
 """What is decided anew for several cores, by traces and by every order of events of small cases."""
+
 from __future__ import annotations
 
 import random
@@ -72,7 +73,7 @@
     silence = Silence(0)
     assert silence.alone and silence.hear(10) and not silence.hear(20)
     assert not silence.look(20 + SILENT, 0) and not silence.alone
-    assert not silence.look(21 + SILENT, 5 * MS)            # this part itself has only just woken
+    assert not silence.look(21 + SILENT, 5 * MS)  # this part itself has only just woken
     assert silence.look(6 * MS + SILENT, 5 * MS) and silence.alone
     assert not silence.look(7 * MS + SILENT, 0) and silence.hear(8 * MS + SILENT)
 
@@ -100,7 +101,7 @@
 
 
 # ---- every order of events ---------------------------------------------------------------------------------
-WINDOW, LIFE = 4, 1             # steps of a small clock
+WINDOW, LIFE = 4, 1  # steps of a small clock
 
 
 class Model:
@@ -121,7 +122,11 @@
 
     def start(self):
         self.exposure, self.entries = WindowBudget(WINDOW + 2 * LIFE, 1), {}
-        found = [] if self.flaw == "forgets" else trusted(((when, 0) for when in self.book), self.now, WINDOW + 2 * LIFE)
+        found = (
+            []
+            if self.flaw == "forgets"
+            else trusted(((when, 0) for when in self.book), self.now, WINDOW + 2 * LIFE)
+        )
         for when, _ in found:
             self.exposure.sends.append([when, 0])
 
@@ -153,7 +158,7 @@
             case "kill":
                 self.dead += 1
                 self.unwritten = []
-                for pipe in self.up.values():           # what was on its way to it is lost, what it said is not
+                for pipe in self.up.values():  # what was on its way to it is lost, what it said is not
                     pipe.clear()
                 self.start()
             case "take":
@@ -176,7 +181,7 @@
         if message == "may":
             entry = self.entries.pop(part, None)
             self.exposure.drop(entry)
-            if entry is None:                         # of a deciding part that is gone: it knows of no such dispatch
+            if entry is None:  # of a deciding part that is gone: it knows of no such dispatch
                 self.down[part].append(("no", self.now))
                 return
         if self.exposure.room(self.now, 1e-9):
@@ -193,7 +198,7 @@
         holds = GO if self.flaw == "stale" else fate(self.now, given, LIFE, True)
         if holds == GO:
             self.left.append(self.now)
-        elif part in self.has_asked:                    # it gives up the second time
+        elif part in self.has_asked:  # it gives up the second time
             self.up[part].append("dropped")
         else:
             self.has_asked.add(part)
@@ -209,8 +214,14 @@
         other = object.__new__(Model)
         other.__dict__.update(self.__dict__)
         other.book, other.unwritten, other.left = self.book[:], self.unwritten[:], self.left[:]
-        other.up, other.down = ({part: pipe.copy() for part, pipe in pipes.items()} for pipes in (self.up, self.down))
-        other.stopped, other.has_asked, other.asked = self.stopped.copy(), self.has_asked.copy(), self.asked.copy()
+        other.up, other.down = (
+            {part: pipe.copy() for part, pipe in pipes.items()} for pipes in (self.up, self.down)
+        )
+        other.stopped, other.has_asked, other.asked = (
+            self.stopped.copy(),
+            self.has_asked.copy(),
+            self.asked.copy(),
+        )
         copies = {id(entry): entry[:] for entry in (*self.exposure.sends, *self.entries.values())}
         other.exposure = WindowBudget(WINDOW + 2 * LIFE, 1)
         other.exposure.sends = deque(copies[id(entry)] for entry in self.exposure.sends)
@@ -221,9 +232,20 @@
         return any(later - earlier <= WINDOW for earlier, later in zip(self.left, self.left[1:]))
 
     def state(self):
-        return (self.now, tuple(self.book), tuple(self.unwritten), tuple(self.left), self.dead, tuple(tuple(p) for p in self.down.values()),
-                tuple(tuple(p) for p in self.up.values()), frozenset(self.stopped), frozenset(self.has_asked),
-                tuple(self.asked.values()), tuple(tuple(s) for s in self.exposure.sends), tuple(sorted((k, tuple(v)) for k, v in self.entries.items())))
+        return (
+            self.now,
+            tuple(self.book),
+            tuple(self.unwritten),
+            tuple(self.left),
+            self.dead,
+            tuple(tuple(p) for p in self.down.values()),
+            tuple(tuple(p) for p in self.up.values()),
+            frozenset(self.stopped),
+            frozenset(self.has_asked),
+            tuple(self.asked.values()),
+            tuple(tuple(s) for s in self.exposure.sends),
+            tuple(sorted((k, tuple(v)) for k, v in self.entries.items())),
+        )
 
 
 def explore(flaw=""):
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -1,5 +1,6 @@
 """One sequence of events through both doors, the drill's lines and the agent's Seat under a fake clock: the same
 decisions, in the same order."""
+
 from __future__ import annotations
 
 import io
@@ -9,25 +10,64 @@
 import pytest
 
 from cartweir import interface as ours
-from cartweir.hosting.seat import Seat
 from cartweir.drill.adapter import OUTCOMES, PHASES, STATES, known_from, serve
-from cartweir.interface import Stage
 from cartweir.hosting.roster import Row
+from cartweir.hosting.seat import Seat
+from cartweir.interface import Stage
 
 CODES = {how: code for code, how in OUTCOMES.items()}
 PARAMS = {
-    "balancers": 3, "me": 1, "zone": "a", "tick": 5.0, "registryMode": "pushed",
-    "allowed": {"cancel": True, "probing": True, "peers": True, "mayDuplicate": True, "retryAfter": True,
-                "maxRetryAfter": 500.0, "tryLimit": 4, "connectTimeout": 250.0},
-    "safety": {"coldFrom": 0.4, "drainGrace": 2000.0, "fall": 1000.0, "fallMultiple": 4.0, "warmAfter": 5000.0},
-    "familyInfo": {"control": "by_count", "votesToGo": 2, "noesNeeded": 1, "ballotTtl": 6000.0, "voteAllowance": 200.0,
-                   "mostShares": [0.2, 0.5, 1.0], "steps": [0.1, 0.4, 1.0], "span": 4000.0, "spareTries": 1.0,
-                   "oneWay": True, "foundShare": 0.3, "style": "parallel", "per": "all"},
+    "balancers": 3,
+    "me": 1,
+    "zone": "a",
+    "tick": 5.0,
+    "registryMode": "pushed",
+    "allowed": {
+        "cancel": True,
+        "probing": True,
+        "peers": True,
+        "mayDuplicate": True,
+        "retryAfter": True,
+        "maxRetryAfter": 500.0,
+        "tryLimit": 4,
+        "connectTimeout": 250.0,
+    },
+    "safety": {
+        "coldFrom": 0.4,
+        "drainGrace": 2000.0,
+        "fall": 1000.0,
+        "fallMultiple": 4.0,
+        "warmAfter": 5000.0,
+    },
+    "familyInfo": {
+        "control": "by_count",
+        "votesToGo": 2,
+        "noesNeeded": 1,
+        "ballotTtl": 6000.0,
+        "voteAllowance": 200.0,
+        "mostShares": [0.2, 0.5, 1.0],
+        "steps": [0.1, 0.4, 1.0],
+        "span": 4000.0,
+        "spareTries": 1.0,
+        "oneWay": True,
+        "foundShare": 0.3,
+        "style": "parallel",
+        "per": "all",
+    },
     "classes": [
         {"name": "view", "effect": "retryable", "aim": 1000.0, "hardLimit": 3000.0, "worth": 1.0},
-        {"name": "order", "effect": "dedup", "dedupScope": "zone", "window": 2000.0, "aim": 750.0, "hardLimit": 3000.0,
-         "worth": 3.0},
-        {"name": "issue", "effect": "fragile", "aim": 1000.0, "hardLimit": 3000.0, "worth": 2.0}]}
+        {
+            "name": "order",
+            "effect": "dedup",
+            "dedupScope": "zone",
+            "window": 2000.0,
+            "aim": 750.0,
+            "hardLimit": 3000.0,
+            "worth": 3.0,
+        },
+        {"name": "issue", "effect": "fragile", "aim": 1000.0, "hardLimit": 3000.0, "worth": 2.0},
+    ],
+}
 
 
 class Fake:
@@ -49,7 +89,9 @@
         self.later.append(do)
 
     def start(self, dispatch, call):
-        self.say(f"dispatch {dispatch.invocation.ident}.{dispatch.number} to {dispatch.appliance.ident} for {dispatch.patience}")
+        self.say(
+            f"dispatch {dispatch.invocation.ident}.{dispatch.number} to {dispatch.appliance.ident} for {dispatch.patience}"
+        )
         self.out[dispatch.invocation.ident, dispatch.number] = dispatch
         return Attempt(self, dispatch)
 
@@ -119,6 +161,7 @@
             return f"vote {verdict} {got['build']} {got['ring']}"
         case "NOTIFY":
             import base64
+
             to = "all" if got["addressee"] == "*" else got["addressee"]
             return f"message {to} {[int(n) for n in base64.b64decode(got['body']).split()]}"
         case "LOG":
@@ -163,7 +206,7 @@
         turn()
 
     def turn():
-        while fake.later:                   # what the World does in its next turn
+        while fake.later:  # what the World does in its next turn
             fake.later.pop(0)()
 
     end = seat.ended
@@ -172,9 +215,15 @@
         """Each end that the agent's door tells, the drill is told by a line."""
         if dispatch.ended is None:
             done = how == ours.SUCCEEDED or dispatch.invocation.concluded
-            events.append((fake.time, [
-                f"COMPLETED\tagent=agent_1\trequestId={dispatch.invocation.ident}\tappliance={dispatch.appliance.ident}"
-                f"\tshot={dispatch.number}\tverdict={CODES[how]}\tcomplete={int(done)}\trtt={ms(fake.time - dispatch.sent)}"]))
+            events.append(
+                (
+                    fake.time,
+                    [
+                        f"COMPLETED\tagent=agent_1\trequestId={dispatch.invocation.ident}\tappliance={dispatch.appliance.ident}"
+                        f"\tshot={dispatch.number}\tverdict={CODES[how]}\tcomplete={int(done)}\trtt={ms(fake.time - dispatch.sent)}"
+                    ],
+                )
+            )
         end(dispatch, how, load, answer, passed)
 
     seat.ended = ended
@@ -184,14 +233,21 @@
         for ident, build, state, zone, started in entries:
             rows.append(Row(ident, build, started, started, state, zone, 0, "std", 1.0))
             phase = {v: k for k, v in STATES.items()}[state]
-            lines.append(f"ENTRY\tphase={phase}\tshape=std\tsize=1\tappliance={ident}\tdc={zone}\tpod=0\truns={build}"
-                         f"\tupSince={ms(started)}")
+            lines.append(
+                f"ENTRY\tphase={phase}\tshape=std\tsize=1\tappliance={ident}\tdc={zone}\tpod=0\truns={build}"
+                f"\tupSince={ms(started)}"
+            )
         lines.append(f"REGISTRY\tagent=agent_1\thow={'snapshot' if whole else 'diff'}\tversion=1\tsheet=0")
         both(lines, lambda: seat.listed("whole" if whole else "changes", rows))
 
     def staged(build, stage, phase, cap):
-        both([f"RELEASE_STATE\tagent=agent_1\tbuild={build}\tring={stage}\twhereAt={PHASES.index(phase)}\thow=0\tcap={cap}"
-              f"\tlateness=0"], lambda: seat.staged(Stage(build, stage, phase, cap, 0, None)))
+        both(
+            [
+                f"RELEASE_STATE\tagent=agent_1\tbuild={build}\tring={stage}\twhereAt={PHASES.index(phase)}\thow=0\tcap={cap}"
+                f"\tlateness=0"
+            ],
+            lambda: seat.staged(Stage(build, stage, phase, cap, 0, None)),
+        )
 
     def alarms_until(time):
         while fake.alarms and min(fake.alarms) <= time:
@@ -216,18 +272,26 @@
             number += 1
             ident, operation = number, chance.choice(("view", "view", "order", "issue"))
             left, key = chance.choice((3_000_000, 900_000, 60_000)), f"k{chance.randrange(300)}"
-            both([f"INGRESS\tagent=agent_1\trequestId={ident}\tservice={operation}\titem={key}\tleft={ms(left)}"],
-                 lambda: seat.take(Call(fake, ident), seat.operations[operation], fake.time, left, key=key))
+            both(
+                [
+                    f"INGRESS\tagent=agent_1\trequestId={ident}\tservice={operation}\titem={key}\tleft={ms(left)}"
+                ],
+                lambda: seat.take(Call(fake, ident), seat.operations[operation], fake.time, left, key=key),
+            )
         elif roll < 0.5 and (waiting := [line for line in fake.lines[-4:] if " probe " in line]):
             ident = waiting[-1].split()[-1]
-            both([f"SAMPLED\tagent=agent_1\tappliance={ident}\tverdict=200\trtt=1.0"],
-                 lambda: seat.probed(seat.roster.appliances[ident], True, 1000, None))
+            both(
+                [f"SAMPLED\tagent=agent_1\tappliance={ident}\tverdict=200\trtt=1.0"],
+                lambda: seat.probed(seat.roster.appliances[ident], True, 1000, None),
+            )
         elif fake.out:
             inv, shot = chance.choice(list(fake.out))
             dispatch = fake.out.pop((inv, shot))
             if dispatch.ended is not None:
                 continue
-            how = chance.choice((ours.SUCCEEDED,) * 20 + (ours.ERROR, ours.FULL, ours.UNCONNECTED, ours.RESET, ours.TIMEOUT))
+            how = chance.choice(
+                (ours.SUCCEEDED,) * 20 + (ours.ERROR, ours.FULL, ours.UNCONNECTED, ours.RESET, ours.TIMEOUT)
+            )
             if bad and dispatch.appliance.build == 2 and chance.random() < 0.5:
                 how = ours.ERROR
             seat.ended(dispatch, how, answer=((), [], ()) if how == ours.SUCCEEDED else None)
@@ -239,7 +303,11 @@
 def test_same_events_same_decisions(seed, bad):
     lines, events = day(seed, bad)
     drill = Drill(1_000_000, 7).play(events)
-    agent = [line.split(" to ")[0].rsplit(".", 1)[0] + ".? to " + line.split(" to ")[1] if "  dispatch " in line else line
-             for line in lines]
+    agent = [
+        line.split(" to ")[0].rsplit(".", 1)[0] + ".? to " + line.split(" to ")[1]
+        if "  dispatch " in line
+        else line
+        for line in lines
+    ]
     assert sum("dispatch" in line for line in agent) > 500 and any("vote" in line for line in agent)
     assert agent == drill
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,9 +1,14 @@
 """News that must be asked for, and messages between agents, on sockets."""
+
 from __future__ import annotations
 
 import asyncio
 import os
 
+from peers import ISSUE, VIEW, Client, Log, answer, rig, settings
+from test_calls import ask, sockets
+from test_processes import Offering
+
 from cartweir.agent.daemon import Daemon
 from cartweir.agent.names import load_of
 from cartweir.agent.news import write_whole
@@ -12,9 +17,6 @@
 from cartweir.settings.ini import read_agent
 from cartweir.wire import grpc
 from cartweir.wire.calls import CallError, Channel
-from peers import ISSUE, VIEW, Client, Log, answer, rig, settings
-from test_calls import ask, sockets
-from test_processes import Offering
 
 
 @sockets
@@ -23,7 +25,7 @@
         assert (await ask(it, ISSUE)).status == "0"
         it.registry.fail(True)
         await it.log.next("registry_lost")
-        assert (await ask(it, ISSUE)).status == "0"             # the list held goes on
+        assert (await ask(it, ISSUE)).status == "0"  # the list held goes on
         late = await it.add(answer)
         it.registry.fail(False)
         await it.log.next("list")
@@ -34,9 +36,11 @@
 @sockets
 async def test_counts_of_one_agent_reach_the_other(tmp_path):
     """Two agents that may message: what each saw of the trial is added up at one and told to the other."""
-    conveyor = Offering(lambda count, request: pb.Verdict(answer=pb.Verdict.OK, stage=conveyor.word).SerializeToString())
+    conveyor = Offering(
+        lambda count, request: pb.Verdict(answer=pb.Verdict.OK, stage=conveyor.word).SerializeToString()
+    )
     where = conveyor.listen_on("127.0.0.1:0")
-    free = [Offering(None), Offering(None)]                      # their ports are the agents'
+    free = [Offering(None), Offering(None)]  # their ports are the agents'
     ports = [one.listen_on("127.0.0.1:0") for one in free]
     for one in free:
         one.shut()
@@ -47,14 +51,20 @@
             folder = tmp_path / str(me)
             folder.mkdir()
             registry = f"127.0.0.1:{it.registry.port}"
-            file = settings(folder, registry, where, agent=f"me = {me}\nagents = 2", allowed="may_message = yes")
-            file.write_text(file.read_text().replace("listen = 127.0.0.1:0", f"listen = {ports[me]}")
-                            + f"[peers]\n{1 - me} = {ports[1 - me]}\n")
+            file = settings(
+                folder, registry, where, agent=f"me = {me}\nagents = 2", allowed="may_message = yes"
+            )
+            file.write_text(
+                file.read_text().replace("listen = 127.0.0.1:0", f"listen = {ports[me]}")
+                + f"[peers]\n{1 - me} = {ports[1 - me]}\n"
+            )
             logs.append(Log())
             daemon = Daemon(read_agent(file), logs[-1])
             told = daemon.seat.told
-            daemon.seat.told = lambda sender, figures, me=me, told=told: (heard[me].append((sender, figures)),
-                                                                         told(sender, figures))
+            daemon.seat.told = lambda sender, figures, me=me, told=told: (
+                heard[me].append((sender, figures)),
+                told(sender, figures),
+            )
             ready = [asyncio.ensure_future(logs[-1].next(event)) for event in ("list", "stage")]
             daemon.start_up()
             await asyncio.gather(*ready)
@@ -99,6 +109,7 @@
                 alarms.now = real
             else:
                 fire()
+
         daemon.loop.remove_timeout(alarms._next[1])
         alarms._fire, alarms._next, alarms._dues = first_early, None, []
         daemon.alarm_at(due)
@@ -113,13 +124,16 @@
         engine.at(now + 1000, lambda: engine.at(now + 40_000, fired.set))
         while it.daemon.clock.now() < now + 1000:
             pass
-        it.daemon.seat.enter()              # an event comes before the alarm's turn
+        it.daemon.seat.enter()  # an event comes before the alarm's turn
         await asyncio.wait_for(fired.wait(), 5)
 
 
 def test_load_comes_from_the_orca_trailer():
-    report = orca_pb2.OrcaLoadReport(cpu_utilization=0.5, rps_fractional=20, named_metrics={"inflight": 3, "queue": 2,
-                                                                                           "mean_ms": 90, "other": 1})
+    report = orca_pb2.OrcaLoadReport(
+        cpu_utilization=0.5,
+        rps_fractional=20,
+        named_metrics={"inflight": 3, "queue": 2, "mean_ms": 90, "other": 1},
+    )
     trailer = [(b"endpoint-load-metrics-bin", grpc.encode_binary(report.SerializeToString()))]
     assert load_of(trailer) == {"util": 0.5, "rate": 20, "inflight": 3, "queue": 2, "mean_ms": 90}
     assert load_of([]) is None and load_of([(b"endpoint-load-metrics-bin", b"!")]) is None
@@ -129,7 +143,11 @@
     """In order: the new text synced beside the old one, put in its place, and that place synced: else a machine that goes down may
     come back to the old one, and an agent to a decision before the one it followed."""
     done, sync, replace = [], os.fsync, os.replace
-    monkeypatch.setattr(os, "fsync", lambda file: (done.append(os.path.basename(os.readlink(f"/proc/self/fd/{file}"))), sync(file)))
+    monkeypatch.setattr(
+        os,
+        "fsync",
+        lambda file: (done.append(os.path.basename(os.readlink(f"/proc/self/fd/{file}"))), sync(file)),
+    )
     monkeypatch.setattr(os, "replace", lambda a, b: (done.append("replaced"), replace(a, b)))
     (folder := tmp_path / "kept").mkdir()
     write_whole(folder / "stage", "new")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,5 +1,6 @@
 """An agent as a process of its own: signals, a stopped clock, no more file descriptors, a port that is taken, news
 that goes away."""
+
 from __future__ import annotations
 
 import asyncio
@@ -12,12 +13,12 @@
 
 import grpc
 import pytest
+from peers import ISSUE, ROOT, VIEW, Appliance, Client, Process, answer, nothing, rig, settings
+from test_calls import ask, sockets
 
 from cartweir.proto import agent_pb2 as pb
 from cartweir.standin.registry import Registry
 from cartweir.wire.calls import Service
-from peers import ISSUE, ROOT, VIEW, Appliance, Client, Process, answer, nothing, rig, settings
-from test_calls import ask, sockets
 
 
 async def world(folder, *acts, before=(), conveyor="127.0.0.1:9", **more):
@@ -113,14 +114,14 @@
     await process.until("accept_short")
     told = process.of("accept_short")
     assert len(told) == 1 and "ulimit" in told[0]["due"]
-    accepted = clients[:told[0]["connections"]]
+    accepted = clients[: told[0]["connections"]]
     for client in accepted[:5]:
         got = client.call(VIEW)
         await got.done.wait()
         assert got.ends == 1 and got.status in ("0", "8")
     for client in accepted[5:]:
         client.close()
-    got = clients[-1].call(VIEW)                # waited in the queue all the while
+    got = clients[-1].call(VIEW)  # waited in the queue all the while
     await got.done.wait()
     assert got.ends == 1 and process.of("accept_again")
     assert await process.stop() == 0
@@ -132,8 +133,14 @@
     registry, appliances, process = await world(tmp_path, answer)
     file = settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9")
     file.write_text(file.read_text().replace("listen = 127.0.0.1:0", f"listen = {process.address}"))
-    done = subprocess.run([sys.executable, "-m", "cartweir", "agent", "--settings", file], cwd=ROOT, text=True,
-                          capture_output=True, timeout=20, env={**os.environ, "PYTHONPATH": str(ROOT)})
+    done = subprocess.run(
+        [sys.executable, "-m", "cartweir", "agent", "--settings", file],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=20,
+        env={**os.environ, "PYTHONPATH": str(ROOT)},
+    )
     assert done.returncode == 1 and "Traceback" not in done.stderr
     assert process.address in done.stderr and "in use" in done.stderr and "is due" in done.stderr
     assert await process.stop() == 0
@@ -164,15 +171,19 @@
     assert got.status == "0"
     assert await process.stop() == 0
 
-    process = await Process.start(settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=f"list_file = {kept}"))
+    process = await Process.start(
+        settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=f"list_file = {kept}")
+    )
     client = await Client.connect(process.address)
     got = client.call(ISSUE)
     await got.done.wait()
     assert got.status == "0" and process.of("list_from_disk")[0]["appliances"] == 1
     assert await process.stop() == 0
 
-    kept.write_text(kept.read_text()[:40])      # cut short
-    process = await Process.start(settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=f"list_file = {kept}"))
+    kept.write_text(kept.read_text()[:40])  # cut short
+    process = await Process.start(
+        settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=f"list_file = {kept}")
+    )
     assert process.of("list_file_bad") and await process.stop() == 0
     end(registry, appliances)
 
@@ -204,8 +215,11 @@
 
 
 def bad(who, peer, stream, number):
-    peer.h2.send_headers(stream, [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "13")],
-                         end_stream=True)
+    peer.h2.send_headers(
+        stream,
+        [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "13")],
+        end_stream=True,
+    )
 
 
 @sockets
@@ -234,7 +248,7 @@
             assert await until_voted(it, conveyor, votes) == [(2, 0, "BACK")] * votes
             while len(it.log.of("vote")) < len(answers):
                 await it.log.next("vote")
-            assert [line["answer"] for line in it.log.of("vote")][:len(answers)] == answers
+            assert [line["answer"] for line in it.log.of("vote")][: len(answers)] == answers
             assert (await ask(it)).ends == 1
         conveyor.shut()
 
@@ -252,6 +266,7 @@
                 stage = pb.Stage(build=2, number=0, phase=pb.ON_TRIAL, cap=cap, epoch=epoch, index=index)
                 request.send(pb.Word(stage=stage).SerializeToString())
             told.append(stamps)
+
         service.handlers["/cartweir.v1.Conveyor/News"] = news
         return service, service.listen_on("127.0.0.1:0")
 
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,5 @@
 """An agent on several cores as its processes: parts that are killed, stopped, hung, restarted, and left behind."""
+
 from __future__ import annotations
 
 import asyncio
@@ -12,12 +13,12 @@
 
 import grpc
 import pytest
-
-from cartweir.proto import agent_pb2 as pb
 from peers import ISSUE, ROOT, VIEW, Client, Process, answer, nothing, settings
 from test_calls import sockets
 from test_processes import end, world
 
+from cartweir.proto import agent_pb2 as pb
+
 CORES = "cores = 3"
 
 
@@ -44,7 +45,11 @@
 @contextlib.asynccontextmanager
 async def channels(address, count=6):
     """Connections of their own, spread over the parts."""
-    options = [("grpc.use_local_subchannel_pool", 1), ("grpc.min_reconnect_backoff_ms", 100), ("grpc.max_reconnect_backoff_ms", 200)]
+    options = [
+        ("grpc.use_local_subchannel_pool", 1),
+        ("grpc.min_reconnect_backoff_ms", 100),
+        ("grpc.max_reconnect_backoff_ms", 200),
+    ]
     found = [grpc.aio.insecure_channel(address, options=options) for _ in range(count)]
     yield found
     for channel in found:
@@ -52,7 +57,10 @@
 
 
 async def many(found, path=VIEW, count=30):
-    calls = [found[n % len(found)].unary_unary(path)(b"please", timeout=2, wait_for_ready=True) for n in range(count)]
+    calls = [
+        found[n % len(found)].unary_unary(path)(b"please", timeout=2, wait_for_ready=True)
+        for n in range(count)
+    ]
     return [await call.code() for call in calls]
 
 
@@ -109,7 +117,9 @@
 
 @sockets
 async def test_a_stopped_part_is_left_out_and_wakes_to_the_news_of_now(tmp_path):
-    registry, appliances, process = await world(tmp_path, answer, answer, agent=CORES, appliances="drain_grace = 300ms")
+    registry, appliances, process = await world(
+        tmp_path, answer, answer, agent=CORES, appliances="drain_grace = 300ms"
+    )
     async with channels(process.address, 9) as found:
         assert set(await many(found)) == {grpc.StatusCode.OK}
         victim = pids(process)[2]
@@ -118,9 +128,15 @@
         codes = [asyncio.ensure_future(call.code()) for call in held]
         done, waiting = await asyncio.wait(codes, timeout=1.5)
         assert done and {code.result() for code in done} == {grpc.StatusCode.OK}
-        entry = pb.Entry(appliance="a0", address=list(registry.entries.values())[0].address, build=1, run=1, state=pb.DRAINING)
+        entry = pb.Entry(
+            appliance="a0",
+            address=list(registry.entries.values())[0].address,
+            build=1,
+            run=1,
+            state=pb.DRAINING,
+        )
         registry.put(entry)
-        await asyncio.sleep(1.0)                # past the grace
+        await asyncio.sleep(1.0)  # past the grace
         seen = len(appliances[0].requests)
         os.kill(victim, signal.SIGCONT)
         if waiting:
@@ -162,16 +178,24 @@
     core = sorted(os.sched_getaffinity(0))[0]
     victim = pids(process)[1]
     os.sched_setaffinity(victim, {core})
-    busy = [await asyncio.create_subprocess_exec(sys.executable, "-c", f"import os; os.sched_setaffinity(0, {{{core}}})\n"
-                                                 "while True: pass") for _ in range(4)]
+    busy = [
+        await asyncio.create_subprocess_exec(
+            sys.executable, "-c", f"import os; os.sched_setaffinity(0, {{{core}}})\nwhile True: pass"
+        )
+        for _ in range(4)
+    ]
     try:
         async with channels(process.address, 6) as found:
-            for _ in range(15):         # no more at once than the agent itself lets out: none is throttled, failed or late
+            for _ in range(
+                15
+            ):  # no more at once than the agent itself lets out: none is throttled, failed or late
                 assert set(await many(found, count=4)) == {grpc.StatusCode.OK}
             # sixty at once: what finds no room in time is told so, as on a free core; nothing else goes wrong
             codes = await many(found, count=60)
-            assert set(codes) <= {grpc.StatusCode.OK, grpc.StatusCode.RESOURCE_EXHAUSTED} and codes.count(
-                grpc.StatusCode.OK) >= 30, codes
+            assert (
+                set(codes) <= {grpc.StatusCode.OK, grpc.StatusCode.RESOURCE_EXHAUSTED}
+                and codes.count(grpc.StatusCode.OK) >= 30
+            ), codes
     finally:
         for hog in busy:
             hog.kill()
@@ -197,7 +221,9 @@
     await asyncio.gather(passed.done.wait(), some.done.wait())
     assert passed.tail["cartweir-answer"] in ("throttled", "terminated") and some.status == "0"
     (sent,) = [request for request in appliances[0].requests if request[":path"] == ISSUE]
-    assert int(sent["grpc-timeout"][:-1]) <= 1_500_000 - slept * 1e6 + 10_000        # the kernel's clock goes by some milliseconds
+    assert (
+        int(sent["grpc-timeout"][:-1]) <= 1_500_000 - slept * 1e6 + 10_000
+    )  # the kernel's clock goes by some milliseconds
     client.close()
     assert await process.stop() == 0
     end(registry, appliances)
@@ -229,12 +255,19 @@
     from cartweir.standin.registry import Registry
 
     registry = Registry()
-    file = settings(tmp_path, registry.listen_on("127.0.0.1:0"), "127.0.0.1:9", agent=CORES + "\nhang_time = 500ms")
+    file = settings(
+        tmp_path, registry.listen_on("127.0.0.1:0"), "127.0.0.1:9", agent=CORES + "\nhang_time = 500ms"
+    )
     script = tmp_path / "hangs.py"
     script.write_text(HANGS)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, str(script), str(file), cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "PYTHONPATH": str(ROOT)})
+        sys.executable,
+        str(script),
+        str(file),
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        env={**os.environ, "PYTHONPATH": str(ROOT)},
+    )
     events = []
     while "part_started" not in events:
         line = json.loads(await process.stderr.readline())
@@ -259,9 +292,14 @@
     while any(running(pid) for pid in parts.values()):
         await asyncio.sleep(0.005)
     assert (set(os.listdir("/dev/shm")) if os.path.isdir("/dev/shm") else set()) <= names
-    again = await Process.start(settings(tmp_path, registry.listen_on("127.0.0.1:0") if not registry._sockets else
-                                         f"127.0.0.1:{registry.port}", "127.0.0.1:9",
-                                         agent=CORES).with_suffix(".ini"))
+    again = await Process.start(
+        settings(
+            tmp_path,
+            registry.listen_on("127.0.0.1:0") if not registry._sockets else f"127.0.0.1:{registry.port}",
+            "127.0.0.1:9",
+            agent=CORES,
+        ).with_suffix(".ini")
+    )
     await again.until("list")
     async with channels(again.address, 2) as found:
         assert set(await many(found, count=4)) == {grpc.StatusCode.OK}
@@ -273,7 +311,10 @@
 async def test_sigterm_drains_all_parts_and_the_second_answers_what_is_owed(tmp_path):
     registry, appliances, process = await world(tmp_path, nothing, agent=CORES)
     async with channels(process.address, 2) as found:
-        calls = [channel.unary_unary(ISSUE if n % 2 else VIEW)(b"please", timeout=8) for n, channel in enumerate(found)]
+        calls = [
+            channel.unary_unary(ISSUE if n % 2 else VIEW)(b"please", timeout=8)
+            for n, channel in enumerate(found)
+        ]
         codes = [asyncio.ensure_future(call.code()) for call in calls]
         while len(appliances[0].requests) < 2:
             await asyncio.sleep(0.005)
@@ -283,18 +324,29 @@
         assert not any(code.done() for code in codes)
         process.process.send_signal(signal.SIGTERM)
         ends = await asyncio.gather(*codes)
-        assert grpc.StatusCode.UNKNOWN in ends and set(ends) <= {grpc.StatusCode.UNKNOWN, grpc.StatusCode.RESOURCE_EXHAUSTED}
+        assert grpc.StatusCode.UNKNOWN in ends and set(ends) <= {
+            grpc.StatusCode.UNKNOWN,
+            grpc.StatusCode.RESOURCE_EXHAUSTED,
+        }
     assert await process.process.wait() == 0
     end(registry, appliances)
 
 
-@pytest.mark.parametrize("text, said", [
-    ("cores = 0", "[agent] cores = 0"), ("cores = many", "whole number from 1 to 64, or auto is due"), ("cores = 65", "64")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        ("cores = 0", "[agent] cores = 0"),
+        ("cores = many", "whole number from 1 to 64, or auto is due"),
+        ("cores = 65", "64"),
+    ],
+)
 def test_bad_numbers_of_cores_are_told(tmp_path, text, said):
     import subprocess
 
     file = settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=text)
-    done = subprocess.run([sys.executable, "-m", "cartweir", "agent", "-s", str(file)], cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "cartweir", "agent", "-s", str(file)], cwd=ROOT, capture_output=True, text=True
+    )
     assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
 
 
@@ -306,6 +358,11 @@
         port = taken.getsockname()[1]
         file = settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=CORES)
         file.write_text(file.read_text().replace("listen = 127.0.0.1:0", f"listen = 127.0.0.1:{port}"))
-        done = subprocess.run([sys.executable, "-m", "cartweir", "agent", "-s", str(file)], cwd=ROOT, capture_output=True,
-                              text=True, timeout=30)
+        done = subprocess.run(
+            [sys.executable, "-m", "cartweir", "agent", "-s", str(file)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
     assert done.returncode == 1 and "is due" in done.stderr and "Traceback" not in done.stderr
