--- a/cartweir/node/config.py
+++ b/cartweir/node/config.py
@@ -1,4 +1,5 @@
 """What the platform tells an agent at its start, and again after SIGHUP: EDGE_CONFIG, checked."""
+
 from __future__ import annotations
 
 import json
@@ -26,9 +27,9 @@
     peers: list[str]
     peers_all: str | None
     desk: str
-    stage: Mapping[str, Any]            # the newest build's state, in the desk's form; empty: none is known
-    listed: Mapping[str, Any]           # the list of appliances as last held, in discovery's form
-    known: dict[str, Any]               # the settings by our names
+    stage: Mapping[str, Any]  # the newest build's state, in the desk's form; empty: none is known
+    listed: Mapping[str, Any]  # the list of appliances as last held, in discovery's form
+    known: dict[str, Any]  # the settings by our names
 
 
 def read(environment: Mapping[str, str] = os.environ) -> Config:
@@ -40,7 +41,9 @@
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}; a readable file is due") from None
+        raise ConfigError(
+            f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}; a readable file is due"
+        ) from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}; one JSON object is due") from None
     if not isinstance(told, dict):
@@ -53,7 +56,9 @@
 
 def _of(told: Mapping[str, Any], name: str, kind: type, due: str, absent: Any = ...) -> Any:
     value = told.get(name)
-    if value is None and (name not in told or absent is not ...):       # null, where nothing need be told, tells nothing
+    if value is None and (
+        name not in told or absent is not ...
+    ):  # null, where nothing need be told, tells nothing
         value = absent
     if value is ...:
         raise ConfigError(f"{name} is missing; {due} is due")
@@ -73,9 +78,18 @@
 
 
 def _config(told: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
-    told = {**{name: environment[variable] for name, variable in (
-        ("name", "EDGE_NAME"), ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY")) if variable in environment},
-        **told}
+    told = {
+        **{
+            name: environment[variable]
+            for name, variable in (
+                ("name", "EDGE_NAME"),
+                ("listen", "EDGE_LISTEN"),
+                ("discovery", "EDGE_DISCOVERY"),
+            )
+            if variable in environment
+        },
+        **told,
+    }
     limits = _of(told, "limits", dict, "an object with sockets", {})
     desk = _of(told, "pipeline", dict, "an object with address and news")
     peers = _of(told, "peers", list, "a list of addresses", [])
@@ -91,18 +105,30 @@
         raise ConfigError("settings.classes is empty; one operation at least is due")
     for operation in known["operations"]:
         if not operation.time_limit:
-            raise ConfigError(f"settings.classes: {operation.name!r} has no hardLimit; a time in milliseconds is due")
+            raise ConfigError(
+                f"settings.classes: {operation.name!r} has no hardLimit; a time in milliseconds is due"
+            )
     if len(known["caps"]) != len(known["shares"]):
-        raise ConfigError(f"settings.familyInfo: {len(known['caps'])} mostShares and {len(known['shares'])} steps; "
-                          "one of each for a stage is due")
+        raise ConfigError(
+            f"settings.familyInfo: {len(known['caps'])} mostShares and {len(known['shares'])} steps; "
+            "one of each for a stage is due"
+        )
     listed = _of(told, "known", dict, "a list in discovery's form", {})
     _of(listed, "endpoints", list, "a list of entries", [])
     try:
         return Config(
-            _of(told, "name", str, "the agent's name"), _address(told, "listen"), _address(told, "discovery"),
-            int(seed, 16), _of(limits, "sockets", int, "a number of descriptors", 1024),
-            _address(told, "peer_listen", None), peers, _address(told, "peers_all", None), _address(desk, "address"),
+            _of(told, "name", str, "the agent's name"),
+            _address(told, "listen"),
+            _address(told, "discovery"),
+            int(seed, 16),
+            _of(limits, "sockets", int, "a number of descriptors", 1024),
+            _address(told, "peer_listen", None),
+            peers,
+            _address(told, "peers_all", None),
+            _address(desk, "address"),
             _of(desk, "news", dict, "the state of the newest build", {}),
-            listed, known)
+            listed,
+            known,
+        )
     except ValueError:
         raise ConfigError(f"seed: {seed[:60]!r}; a hexadecimal number is due") from None
--- a/cartweir/node/daemon.py
+++ b/cartweir/node/daemon.py
@@ -1,4 +1,5 @@
 """The daemon: one agent on one loop, from what the platform told it to its end."""
+
 from __future__ import annotations
 
 import asyncio
@@ -28,9 +29,11 @@
 HEARTBEAT = 20 * MS
 PROBE_TIMEOUT = 250 * MS
 RECONNECT = 50 * MS, S
-RESERVE = 24                # descriptors for what is neither a client nor an appliance
+RESERVE = 24  # descriptors for what is neither a client nor an appliance
 END_CHECK = 20 * MS
-READY_WITHIN = 5 * S        # of the start: so long a new process waits for a word of discovery before it takes clients
+READY_WITHIN = (
+    5 * S
+)  # of the start: so long a new process waits for a word of discovery before it takes clients
 
 
 class Daemon:
@@ -43,18 +46,30 @@
         known = config.known
         room = max(16, config.sockets - RESERVE)
         idle = known["idle_time"]
-        self.links = Links(Reach(known["connect_timeout"], PROBE_TIMEOUT, idle * 6 // 10, room // 2), self.clock.now, self.note)
+        self.links = Links(
+            Reach(known["connect_timeout"], PROBE_TIMEOUT, idle * 6 // 10, room // 2),
+            self.clock.now,
+            self.note,
+        )
         self.alarms = Alarms(IOLoop.current(), self.clock.now, lambda: self.seat.alarm())
-        self._to_say: list[Callable[[], None]] = []     # wishes of the decisions before there is whom to tell
+        self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
         self.discovery: Discovery | None = None
         self.seat = self.links.seat = Seat(self, known, config.seed)
         # where lists are pushed nobody asks for the watch; it is opened anew here, however long discovery is away
         waits = None if known["must_ask"] else Waits(*RECONNECT, random.Random(config.seed + 2))
         self.discovery = Discovery(self.seat, self.links, config.discovery, self.clock.now, self.note, waits)
-        self.desk = Desk(self.seat, config.desk, known["vote_timeout"],
-                         Waits(*RECONNECT, random.Random(config.seed + 1)), self.note)
-        self.peers = Peers(self.seat, config.peer_listen, config.peers, config.peers_all, self.note) if (
-            known["may_message"] and config.peer_listen) else None
+        self.desk = Desk(
+            self.seat,
+            config.desk,
+            known["vote_timeout"],
+            Waits(*RECONNECT, random.Random(config.seed + 1)),
+            self.note,
+        )
+        self.peers = (
+            Peers(self.seat, config.peer_listen, config.peers, config.peers_all, self.note)
+            if (known["may_message"] and config.peer_listen)
+            else None
+        )
         self.front = Front(self.seat, self.clock, room // 2, self.note, self._ready)
         self.started_at = self.clock.now()
         self.ended = asyncio.Event()
@@ -79,7 +94,7 @@
         self.desk.vote(build, stage, verdict)
 
     def subscribe(self) -> None:
-        if self.discovery is None:          # asked for in the module's own first moment
+        if self.discovery is None:  # asked for in the module's own first moment
             self._to_say.append(self.subscribe)
         else:
             self.discovery.subscribe()
@@ -93,8 +108,12 @@
 
     def note(self, event: str, level: str = "info", **facts: Any) -> None:
         if level != "debug" and event not in ("dispatch", "answer", "left"):
-            print(f"{self.clock.now() / 1e6:.3f} {event}", *(f"{name}={value}" for name, value in facts.items()),
-                  file=sys.stderr, flush=True)
+            print(
+                f"{self.clock.now() / 1e6:.3f} {event}",
+                *(f"{name}={value}" for name, value in facts.items()),
+                file=sys.stderr,
+                flush=True,
+            )
 
     # ---- its life ----
     def start_up(self) -> str:
@@ -107,8 +126,13 @@
         self.desk.start(self.config.stage)
         address = self.front.listen(self.config.listen)
         self._beat()
-        self.note("started", listen=address, me=self.seat.known["me"], agents=self.seat.known["agents"],
-                  appliances=len(self.seat.roster.appliances))
+        self.note(
+            "started",
+            listen=address,
+            me=self.seat.known["me"],
+            agents=self.seat.known["agents"],
+            appliances=len(self.seat.roster.appliances),
+        )
         return address
 
     def _ready(self) -> bool:
@@ -155,7 +179,9 @@
     """Until it is told to end. Raises OSError where it cannot listen."""
     daemon = Daemon(config)
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: faults.tell(daemon.note, context.get("message"), context.get("exception")))
+    loop.set_exception_handler(
+        lambda _, context: faults.tell(daemon.note, context.get("message"), context.get("exception"))
+    )
     loop.add_signal_handler(signal.SIGTERM, daemon.terminate)
     loop.add_signal_handler(signal.SIGINT, daemon.terminate)
     loop.add_signal_handler(signal.SIGHUP, daemon.reload)
--- a/cartweir/node/desk.py
+++ b/cartweir/node/desk.py
@@ -1,4 +1,5 @@
 """The platform's desk: news on a connection of their own, and votes. JSON-RPC 2.0, one object a line."""
+
 from __future__ import annotations
 
 import asyncio
@@ -17,8 +18,8 @@
 from . import names
 
 MOST_LINE = 64 * 1024
-CONNECT = 1_000_000         # microseconds
-QUIET = 3_000_000           # a sign of life is due every second
+CONNECT = 1_000_000  # microseconds
+QUIET = 3_000_000  # a sign of life is due every second
 Note = Callable[..., None]
 
 
@@ -29,7 +30,7 @@
 async def _line(stream: IOStream, wait: int) -> dict[str, Any]:
     """Raises Lost: what can't be read says nothing, and nothing behind it is to be trusted."""
     try:
-        async with asyncio.timeout(wait / 1e6):         # wait_for may swallow the word to end: two would listen
+        async with asyncio.timeout(wait / 1e6):  # wait_for may swallow the word to end: two would listen
             told = json.loads(await stream.read_until(b"\n", max_bytes=MOST_LINE))
     except TimeoutError:
         raise Lost(f"nothing for {wait // 1000} ms") from None
@@ -44,7 +45,13 @@
 
 class Desk:
     def __init__(self, seat: Seat, address: str, vote_timeout: int, waits: Waits, note: Note) -> None:
-        self.seat, self.address, self.vote_timeout, self.waits, self.note = seat, address, vote_timeout, waits, note
+        self.seat, self.address, self.vote_timeout, self.waits, self.note = (
+            seat,
+            address,
+            vote_timeout,
+            waits,
+            note,
+        )
         self.stages = min(len(seat.known["caps"]), len(seat.known["shares"]))
         self._listener: asyncio.Task | None = None
         self._lost, self._calls = False, 0
@@ -71,7 +78,7 @@
             told, stream = False, None
             try:
                 stream = await connect(*split_address(self.address), CONNECT)
-                if asyncio.current_task().cancelling():     # swallowed on the way: another listens by now
+                if asyncio.current_task().cancelling():  # swallowed on the way: another listens by now
                     return
                 stream.write(b'{"jsonrpc":"2.0","id":1,"method":"listen"}\n')
                 while True:
@@ -84,12 +91,12 @@
                             self._lost = False
                             self.note("desk_back")
                     self._news(line.get("method"), line.get("params"))
-                    self.waits.fine()           # not before: what never can be read is asked for ever more rarely
+                    self.waits.fine()  # not before: what never can be read is asked for ever more rarely
             except (Lost, OSError, ValueError, StreamClosedError) as error:
                 if told or not self._lost:
                     self._lost = True
                     self.note("desk_lost", level="warning", why=str(error)[:200])
-            except Exception as error:          # a fault of ours: told, and the one listener goes on
+            except Exception as error:  # a fault of ours: told, and the one listener goes on
                 faults.tell(self.note, "in news", error)
             finally:
                 if stream is not None:
@@ -101,7 +108,9 @@
         if method == "news":
             self._stage(told, None)
         elif method == "report" and isinstance(told, dict):
-            self.seat.flagged(str(told.get("class")), str(told.get("server")), round(names.figure(told, "age_ms", 0) * 1000))
+            self.seat.flagged(
+                str(told.get("class")), str(told.get("server")), round(names.figure(told, "age_ms", 0) * 1000)
+            )
         elif method == "counts" and isinstance(told, dict):
             operation = self.seat.operations.get(str(told.get("class")))
             if operation is not None:
@@ -119,8 +128,12 @@
         """On a connection of its own: order is all that links answers to calls, and votes are few."""
         how, told, written, stream = "error", None, False, None
         self._calls += 1
-        call = {"jsonrpc": "2.0", "id": self._calls, "method": "verdict",
-                "params": {"build": build, "stage": stage, "verdict": names.VERDICTS[verdict]}}
+        call = {
+            "jsonrpc": "2.0",
+            "id": self._calls,
+            "method": "verdict",
+            "params": {"build": build, "stage": stage, "verdict": names.VERDICTS[verdict]},
+        }
         try:
             async with asyncio.timeout(self.vote_timeout / 1e6):
                 stream = await connect(*split_address(self.address), self.vote_timeout)
@@ -135,7 +148,7 @@
                 else:
                     told, how = answer.get("result"), "ok"
         except (Lost, OSError, ValueError, StreamClosedError, TimeoutError):
-            how = "timeout" if written else "error"     # it may have been heard once it was written
+            how = "timeout" if written else "error"  # it may have been heard once it was written
         finally:
             if stream is not None:
                 stream.close()
--- a/cartweir/node/discovery.py
+++ b/cartweir/node/discovery.py
@@ -4,6 +4,7 @@
 call ended, since the two kinds of failure differ in what may be trusted: discovery that is away has told nobody anything, while
 discovery that may be there and gave no answer may hold changes that count as told. A call that fails late looks the same whether
 discovery is away or has too many callers; a watch that breaks off says that it has gone."""
+
 from __future__ import annotations
 
 import asyncio
@@ -17,17 +18,20 @@
 from ..hosting.seat import Seat
 from ..hosting.tcp import CHUNK, connect, spawn, split_address
 from ..hosting.waits import Waits
-from . import http1
-from . import names
+from . import http1, names
 from .http1 import Malformed, Pieces
 from .jsonstream import JsonStream
 from .links import Links
 
 # Times in microseconds.
 CONNECT_TIMEOUT = 1_000_000
-ANSWER_TIMEOUT = 4_000_000      # for an answer: calls are worked through in turn, and whoever gives up queues again
-HEARTBEAT_TIMEOUT = 2_800_000   # an empty line is due every 2 s
-REFUSAL_TIME = 250_000          # a connection that ends sooner, with no byte of an answer, was refused, not worked through
+ANSWER_TIMEOUT = (
+    4_000_000  # for an answer: calls are worked through in turn, and whoever gives up queues again
+)
+HEARTBEAT_TIMEOUT = 2_800_000  # an empty line is due every 2 s
+REFUSAL_TIME = (
+    250_000  # a connection that ends sooner, with no byte of an answer, was refused, not worked through
+)
 MAX_LIST_BYTES = 16 * 1024 * 1024
 Note = Callable[..., None]
 
@@ -47,8 +51,10 @@
         self.stream, self.now = stream, now
         self.reader = Pieces()
         self.objects = JsonStream(MAX_LIST_BYTES)
-        self.current_at = now()         # up to when nothing can have been missed: its start, then each heartbeat and object
-        self.watching = False           # a watch has told a list: it ends only when discovery does
+        self.current_at = (
+            now()
+        )  # up to when nothing can have been missed: its start, then each heartbeat and object
+        self.watching = False  # a watch has told a list: it ends only when discovery does
         self._started_at = self.current_at
         self._answered = False
 
@@ -68,7 +74,7 @@
 
     async def _bytes(self, wait: int) -> bytes:
         try:
-            async with asyncio.timeout(wait / 1e6):     # wait_for may swallow the word to end
+            async with asyncio.timeout(wait / 1e6):  # wait_for may swallow the word to end
                 return await self.stream.read_bytes(CHUNK, partial=True)
         except TimeoutError:
             raise CallFailed(f"nothing for {wait // 1000} ms") from None
@@ -86,13 +92,20 @@
 class Discovery:
     """waits: where lists are pushed, how soon a watch that ended is opened anew; elsewhere the decisions ask for it."""
 
-    def __init__(self, seat: Seat, links: Links, address: str, now: Callable[[], int], note: Note,
-                 waits: Waits | None = None) -> None:
+    def __init__(
+        self,
+        seat: Seat,
+        links: Links,
+        address: str,
+        now: Callable[[], int],
+        note: Note,
+        waits: Waits | None = None,
+    ) -> None:
         self.seat, self.links, self.address, self.now, self.note = seat, links, address, now, note
         self.waits = waits
         self.version: int | None = None
-        self.synchronized = False               # it has told something in this process, or was out of reach
-        self._told = 0                          # lists and changes followed so far
+        self.synchronized = False  # it has told something in this process, or was out of reach
+        self._told = 0  # lists and changes followed so far
         self._watch: asyncio.Task | None = None
         self._lost = False
 
@@ -144,7 +157,7 @@
                     self.seat.listed(ours.CURRENT)
         except (CallFailed, Malformed, OSError, ValueError, RecursionError, StreamClosedError) as error:
             failure = error
-        except Exception as error:              # a fault of ours: told, and the watch is opened anew
+        except Exception as error:  # a fault of ours: told, and the watch is opened anew
             faults.tell(self.note, "in a list", error)
             failure = error
         finally:
@@ -155,7 +168,9 @@
         if self._watch is me:
             if not self._lost:
                 self._lost = True
-                self.note("discovery_lost", level="warning", why=(str(failure) or type(failure).__name__)[:200])
+                self.note(
+                    "discovery_lost", level="warning", why=(str(failure) or type(failure).__name__)[:200]
+                )
             self._watch = None
             self._failed(failure, began if call is None else call.current_at)
             if self.waits is not None:
@@ -189,7 +204,7 @@
             stream = await connect(*split_address(self.address), CONNECT_TIMEOUT)
         except OSError as error:
             raise Unreachable(error.strerror or str(error)) from None
-        if asyncio.current_task().cancelling():     # swallowed on the way: another watch stands by now
+        if asyncio.current_task().cancelling():  # swallowed on the way: another watch stands by now
             stream.close()
             raise CallFailed("no longer wanted")
         call = _Call(stream, self.now)
@@ -212,11 +227,16 @@
             raise ValueError(f"no list: {str(told)[:80]!r}")
         version = _version_of(told)
         whole = bool(told.get("snapshot"))
-        if version is not None and self.version is not None and version < self.version and (overtaken or not whole):
+        if (
+            version is not None
+            and self.version is not None
+            and version < self.version
+            and (overtaken or not whole)
+        ):
             self.note("list_old", level="warning", version=version, held=self.version)
             if overtaken:
-                return              # of a call from before what is held now
-            self.version = None     # changes of another life of discovery: asked anew, for the whole list
+                return  # of a call from before what is held now
+            self.version = None  # changes of another life of discovery: asked anew, for the whole list
             raise ValueError(f"changes up to {version} where more was told before")
         self._apply(ours.WHOLE if whole else ours.CHANGES, told["endpoints"])
         self.version, self._told = version, self._told + 1
--- a/cartweir/node/front.py
+++ b/cartweir/node/front.py
@@ -3,6 +3,7 @@
 Clients are not trusted: what can't be understood gets an error of its own (never 429 or 503, which promise something)
 and loses its connection, and connections that say nothing are the first to go when descriptors run short.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -17,22 +18,24 @@
 from ..hosting.seat import Seat
 from ..hosting.tcp import Socket, split_address
 from ..interface import FINGERPRINTED, IDEMPOTENT, Invocation, Operation
-from . import http1
-from . import names
+from . import http1, names
 from .http1 import Malformed, Request, Requests
 
 MS = 1000
-SILENT = 2_000 * MS         # a connection without a whole request by then is closed: a usual client asks at once
-SPARE = 2_000 * MS          # one that has been served may go after so long without another
-YOUNG = 100 * MS            # one that has not spoken yet is given so long in any case
-HALF = 500 * MS             # one with half a request is not made to go before, however short places are
-LINGER = 500 * MS           # for the other side to read why, while it is still sending
+SILENT = 2_000 * MS  # a connection without a whole request by then is closed: a usual client asks at once
+SPARE = 2_000 * MS  # one that has been served may go after so long without another
+YOUNG = 100 * MS  # one that has not spoken yet is given so long in any case
+HALF = 500 * MS  # one with half a request is not made to go before, however short places are
+LINGER = 500 * MS  # for the other side to read why, while it is still sending
 MOST_LINGER = 256 * 1024
 SWEEP = 100 * MS
-LATE_COMERS = 600 * MS      # after the word to end, connections keep coming for a while
-CROWD = 20 * MS             # between looks at whoever still waits outside then
-LAST = 3_000 * MS, 600 * MS     # the end is forced so long after the word: the longest time limit, at most the first; and this
-HELD_UP = 20 * MS           # what has been read so long after it came may come from a client that has gone meanwhile
+LATE_COMERS = 600 * MS  # after the word to end, connections keep coming for a while
+CROWD = 20 * MS  # between looks at whoever still waits outside then
+LAST = (
+    3_000 * MS,
+    600 * MS,
+)  # the end is forced so long after the word: the longest time limit, at most the first; and this
+HELD_UP = 20 * MS  # what has been read so long after it came may come from a client that has gone meanwhile
 _IDENT = re.compile(rb"[!-~]{1,128}")
 Note = Callable[..., None]
 
@@ -42,9 +45,11 @@
 
     __slots__ = ("client", "ident", "head", "body", "invocation")
 
-    def __init__(self, client: Client, ident: bytes, head: list[tuple[bytes, bytes]], request: Request) -> None:
+    def __init__(
+        self, client: Client, ident: bytes, head: list[tuple[bytes, bytes]], request: Request
+    ) -> None:
         self.client, self.ident, self.body = client, ident, request.body
-        self.head = (request.method, request.target, head)      # what goes on unchanged
+        self.head = (request.method, request.target, head)  # what goes on unchanged
         self.invocation: Invocation | None = None
 
     def succeed(self, head: Any, body: list[bytes], tail: Any) -> None:
@@ -75,14 +80,28 @@
 class Client:
     """One connection."""
 
-    __slots__ = ("front", "socket", "reader", "call", "since", "served", "asked", "over", "stays", "drained", "unsent")
+    __slots__ = (
+        "front",
+        "socket",
+        "reader",
+        "call",
+        "since",
+        "served",
+        "asked",
+        "over",
+        "stays",
+        "drained",
+        "unsent",
+    )
 
     def __init__(self, front: Front, sock: socket.socket) -> None:
         self.front, self.reader = front, Requests()
         self.call: Call | None = None
-        self.since = front.clock.now()          # connected, began to ask, last answered, or last took a part of its answer
-        self.served = self.asked = False        # asked: a whole request has come, and nothing has been said to it
-        self.over = False                       # only the other side's reading is awaited
+        self.since = (
+            front.clock.now()
+        )  # connected, began to ask, last answered, or last took a part of its answer
+        self.served = self.asked = False  # asked: a whole request has come, and nothing has been said to it
+        self.over = False  # only the other side's reading is awaited
         self.stays, self.drained, self.unsent = True, 0, 0
         self.socket = Socket(front.loop, sock, self)
 
@@ -99,7 +118,7 @@
         except Malformed as error:
             self.refuse(error.status, error.reason)
             return
-        if not requests:                        # an empty line behind a body is no request
+        if not requests:  # an empty line behind a body is no request
             if self.reader.begun and self.call is not None:
                 self.refuse(400, "a second request before the first was answered")
             elif self.reader.begun and self.served and not began:
@@ -114,11 +133,13 @@
             self.front.take(self, requests[0])
         except Malformed as error:
             self.refuse(error.status, error.reason)
-        except Exception:                       # a fault of ours, which the loop tells of: it is answered all the same
+        except Exception:  # a fault of ours, which the loop tells of: it is answered all the same
             if self.asked and self.call is None:
                 self.refuse(500, "an error of the agent")
-            elif self.call is not None:         # the fault was another's: this one is under way
-                self.call.invocation = next((inv for inv, call in self.front.seat.calls.items() if call is self.call), None)
+            elif self.call is not None:  # the fault was another's: this one is under way
+                self.call.invocation = next(
+                    (inv for inv, call in self.front.seat.calls.items() if call is self.call), None
+                )
             raise
 
     def on_lost(self, why: str) -> None:
@@ -177,25 +198,30 @@
 class Front:
     """most: connections of clients at a time. ready: whether clients may be told to come."""
 
-    def __init__(self, seat: Seat, clock: Clock, most: int, note: Note, ready: Callable[[], bool] = lambda: True) -> None:
+    def __init__(
+        self, seat: Seat, clock: Clock, most: int, note: Note, ready: Callable[[], bool] = lambda: True
+    ) -> None:
         self.seat, self.clock, self.most, self.note, self.ready = seat, clock, most, note, ready
         self.loop = asyncio.get_event_loop()
         self.operations: Mapping[bytes, Operation] = {name.encode(): o for name, o in seat.operations.items()}
         self.clients: set[Client] = set()
-        self.idle: OrderedDict[Client, None] = OrderedDict()    # with no request open; the one idle for longest first
+        self.idle: OrderedDict[Client, None] = (
+            OrderedDict()
+        )  # with no request open; the one idle for longest first
         self.calls: dict[bytes, Call] = {}
         self.draining = False
         self.refused = self.evicted = 0
         self.longest = max((operation.time_limit for operation in seat.operations.values()), default=0)
-        self.ends_by = 0                        # once the word has come: what is owed is answered until then
+        self.ends_by = 0  # once the word has come: what is owed is answered until then
         self._listener: socket.socket | None = None
-        self._door = True                       # whether connections are taken in at present
+        self._door = True  # whether connections are taken in at present
 
     def listen(self, address: str) -> str:
         """Raises OSError."""
         host, port = split_address(address)
-        self._listener = sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET,
-                                              socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        self._listener = sock = socket.socket(
+            socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK
+        )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
         sock.listen(1024)
@@ -222,7 +248,7 @@
                 if error.errno in (errno.EMFILE, errno.ENFILE) and not self._evict():
                     self._open_door(False)
                     return False
-                continue                        # that one has gone already
+                continue  # that one has gone already
             sock.setblocking(False)
             client = Client(self, sock)
             self.clients.add(client)
@@ -259,22 +285,24 @@
         return True
 
     def _sweep(self) -> None:
-        self.loop.call_later(SWEEP / 1e6, self._sweep)      # first: whatever goes wrong below, it comes again
+        self.loop.call_later(SWEEP / 1e6, self._sweep)  # first: whatever goes wrong below, it comes again
         now = self.clock.now()
         for client in list(self.idle):
             age, left = now - client.since, client.socket.unsent
-            if left:                            # it reads slowly, or not at all
+            if left:  # it reads slowly, or not at all
                 if left != client.unsent:
                     client.since, client.unsent = now, left
                 elif age > self.longest + LINGER:
                     client.close()
-            elif client.over:                   # to close on unread bytes would reset what it has not read of its answer
+            elif client.over:  # to close on unread bytes would reset what it has not read of its answer
                 if age > SILENT or (age > LINGER and client.socket.quiet()):
                     client.close()
             elif client.reader.begun:
                 if age > SILENT:
                     client.refuse(408, "no whole request in time")
-            elif (not client.served and age > SILENT) or (client.served and self.draining and self._listener is None):
+            elif (not client.served and age > SILENT) or (
+                client.served and self.draining and self._listener is None
+            ):
                 if client.socket.quiet():
                     client.close()
         self._open_door(True)
@@ -284,7 +312,7 @@
         """Raises Malformed."""
         arrived = self.clock.arrived()
         if (not client.served or self.clock.now() - arrived > HELD_UP) and client.socket.ended():
-            client.close()                      # it waited outside, or we stood still: nobody waits for it any more
+            client.close()  # it waited outside, or we stood still: nobody waits for it any more
             return
         path = request.target.partition(b"?")[0]
         if path == names.READY:
@@ -307,7 +335,7 @@
         limit = names.limit_of(request.header(names.LIMIT))
         if not limit:
             raise Malformed(400, "no time limit, such as 480m")
-        if self.draining:                       # answered before the end is forced
+        if self.draining:  # answered before the end is forced
             limit = max(1, min(limit, self.ends_by - arrived))
         if ident in self.calls:
             raise Malformed(409, "a request with this id is open")
@@ -318,9 +346,16 @@
         call = client.call = self.calls[ident] = Call(client, ident, head, request)
         key = request.header(names.KEY)
         invocation = self.seat.take(
-            call, operation, arrived, limit, customer=request.header(names.CUSTOMER).decode("latin-1"),
-            key=key.decode("latin-1") if key else None, hint=int(hint) if hint.isdigit() and len(hint) < 12 else 0,
-            retry=request.header(names.RETRY) == b"1", write=further.get("update") in ("1", "true"))
+            call,
+            operation,
+            arrived,
+            limit,
+            customer=request.header(names.CUSTOMER).decode("latin-1"),
+            key=key.decode("latin-1") if key else None,
+            hint=int(hint) if hint.isdigit() and len(hint) < 12 else 0,
+            retry=request.header(names.RETRY) == b"1",
+            write=further.get("update") in ("1", "true"),
+        )
         if call.client is not None:
             call.invocation = invocation
 
@@ -341,8 +376,12 @@
             return
         self._close_door()
         for client in list(self.idle):
-            if client.served and not (client.over or client.reader.begun or client.socket.unsent) and client.socket.quiet():
-                client.close()                  # a request that crosses this end was never read: its client asks elsewhere
+            if (
+                client.served
+                and not (client.over or client.reader.begun or client.socket.unsent)
+                and client.socket.quiet()
+            ):
+                client.close()  # a request that crosses this end was never read: its client asks elsewhere
 
     def _close_door(self) -> None:
         if self._listener is not None:
--- a/cartweir/node/http1.py
+++ b/cartweir/node/http1.py
@@ -3,6 +3,7 @@
 The parser's own forms are the strict ones. What it leaves open is bounded here: how long a head may be, how many
 headers it may hold, how large a body; and a message that does not say where it ends is none.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
@@ -10,13 +11,23 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser, HttpResponseParser
 
-MOST_HEAD = 16 * 1024       # bytes of a head, its first line included
+MOST_HEAD = 16 * 1024  # bytes of a head, its first line included
 MOST_HEADERS = 100
 MOST_BODY = 64 * 1024
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-           409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests",
-           431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
 
 
 class Malformed(Exception):
@@ -31,9 +42,9 @@
 class Request:
     method: bytes
     target: bytes
-    headers: dict[bytes, bytes]         # names in small letters; one that came twice holds both, with a comma
+    headers: dict[bytes, bytes]  # names in small letters; one that came twice holds both, with a comma
     body: bytes
-    stays: bool                         # the connection may carry another one
+    stays: bool  # the connection may carry another one
 
     def header(self, name: bytes) -> bytes:
         return self.headers.get(name, b"")
@@ -51,12 +62,14 @@
     """What both directions share: the parser's events, and the bounds."""
 
     make: type = HttpRequestParser
-    most_body: int | None = MOST_BODY       # bytes; None: whoever takes the pieces bounds what is kept of them
+    most_body: int | None = MOST_BODY  # bytes; None: whoever takes the pieces bounds what is kept of them
 
     def __init__(self) -> None:
         self._parser = self.make(self)
-        self._fault: tuple[int, str] | None = None     # not the exception: it would keep its frames, and they what was read
-        self.begun = self._in_head = False      # a message has begun and is not whole yet
+        self._fault: tuple[int, str] | None = (
+            None  # not the exception: it would keep its frames, and they what was read
+        )
+        self.begun = self._in_head = False  # a message has begun and is not whole yet
         self._head_size = self._size = self._count = 0
 
     def close(self) -> None:
@@ -85,7 +98,11 @@
     def on_headers_complete(self) -> None:
         self._in_head, self._head_size = False, 0
         length = self._headers.get(b"content-length")
-        if length is not None and self.most_body is not None and (len(length) > 9 or int(length) > self.most_body):
+        if (
+            length is not None
+            and self.most_body is not None
+            and (len(length) > 9 or int(length) > self.most_body)
+        ):
             self._stop(413, f"a body of over {self.most_body} bytes")
 
     def on_body(self, piece: bytes) -> None:
@@ -110,7 +127,7 @@
             self._fault = self._fault or (400, str(error) or type(error).__name__)
         if self._fault is not None:
             raise Malformed(*self._fault)
-        if self._in_head:               # a head that goes on and on, in pieces
+        if self._in_head:  # a head that goes on and on, in pieces
             self._head_size += len(data)
             if self._head_size > MOST_HEAD:
                 self._stop(431, f"a head of over {MOST_HEAD} bytes")
@@ -134,8 +151,15 @@
     def on_message_complete(self) -> None:
         self.begun = False
         parser = self._parser
-        self._whole.append(Request(parser.get_method(), b"".join(self._target), self._headers, b"".join(self._body),
-                                   parser.should_keep_alive()))
+        self._whole.append(
+            Request(
+                parser.get_method(),
+                b"".join(self._target),
+                self._headers,
+                b"".join(self._body),
+                parser.should_keep_alive(),
+            )
+        )
 
 
 class Answers(_Reader):
@@ -145,8 +169,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.answer: Answer | None = None       # whole
-        self.surplus = False                    # more has come than belongs to it
+        self.answer: Answer | None = None  # whole
+        self.surplus = False  # more has come than belongs to it
 
     def feed(self, data: bytes) -> Answer | None:
         """The answer, once it is whole; what comes behind it only sets `surplus`. Raises Malformed."""
@@ -172,15 +196,23 @@
 
     def on_headers_complete(self) -> None:
         super().on_headers_complete()
-        if self._parser.get_status_code() >= 200 and self.answer is None and not (
-                b"content-length" in self._headers or b"chunked" in self._headers.get(b"transfer-encoding", b"").lower()):
+        if (
+            self._parser.get_status_code() >= 200
+            and self.answer is None
+            and not (
+                b"content-length" in self._headers
+                or b"chunked" in self._headers.get(b"transfer-encoding", b"").lower()
+            )
+        ):
             self._stop(502, "an answer that does not say where it ends")
 
     def on_message_complete(self) -> None:
         self.begun = False
         status = self._parser.get_status_code()
         if self.answer is None and status >= 200:
-            self.answer = Answer(status, self._headers, b"".join(self._body), self._parser.should_keep_alive())
+            self.answer = Answer(
+                status, self._headers, b"".join(self._body), self._parser.should_keep_alive()
+            )
 
 
 class Pieces(Answers):
@@ -210,7 +242,9 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def answer(status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), stays: bool = True) -> bytes:
+def answer(
+    status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), stays: bool = True
+) -> bytes:
     lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"Unknown"))]
     lines += [name + b": " + value for name, value in headers]
     if not stays:
--- a/cartweir/node/jsonstream.py
+++ b/cartweir/node/jsonstream.py
@@ -1,5 +1,6 @@
 """JSON objects out of a stream of bytes, without I/O: one a line, or indented over several. Empty lines between two are
 signs of life; one within an object says that the rest of it will not come."""
+
 from __future__ import annotations
 
 import json
@@ -19,13 +20,13 @@
 class JsonStream:
     def __init__(self, most: int) -> None:
         self.most = most
-        self._begun: list[bytes] = []           # lines of an object that is not whole yet
-        self._begun_size = 0                    # bytes of these
-        self._tried_size = 0                    # of these when they were last decoded, and not complete
-        self._depth = 0                         # open brackets behind the first _depth_lines lines
+        self._begun: list[bytes] = []  # lines of an object that is not whole yet
+        self._begun_size = 0  # bytes of these
+        self._tried_size = 0  # of these when they were last decoded, and not complete
+        self._depth = 0  # open brackets behind the first _depth_lines lines
         self._depth_lines = 0
-        self._rest: list[bytes] = []            # pieces of a line that is not whole yet
-        self._rest_size = 0                     # bytes of these
+        self._rest: list[bytes] = []  # pieces of a line that is not whole yet
+        self._rest_size = 0  # bytes of these
 
     def feed(self, data: bytes) -> list[Any]:
         """What has become whole. Raises ValueError for what can't be read; nothing behind it is to be trusted."""
@@ -38,7 +39,7 @@
             self._rest = [line]
             self._rest_size = len(line)
             self._line(complete, found)
-        if self._rest[-1].rstrip().endswith(b"}"):      # perhaps the end of its line is yet to come
+        if self._rest[-1].rstrip().endswith(b"}"):  # perhaps the end of its line is yet to come
             self._unterminated_line(b"".join(self._rest), found)
         if self._begun_size + self._rest_size > self.most:
             raise ValueError(f"an object of over {self.most} bytes")
@@ -55,7 +56,7 @@
         try:
             whole = _DECODER.decode(b"\n".join((*self._begun, line)).decode())
         except ValueError:
-            return                                      # cut somewhere
+            return  # cut somewhere
         found.append(whole)
         self._reset_object()
         self._rest = []
@@ -71,7 +72,7 @@
         return self._begun_size >= 2 * self._tried_size or self._object_depth() <= 0
 
     def _object_depth(self) -> int:
-        self._depth += _depth_of(b"\n".join(self._begun[self._depth_lines:]))
+        self._depth += _depth_of(b"\n".join(self._begun[self._depth_lines :]))
         self._depth_lines = len(self._begun)
         return self._depth
 
@@ -88,7 +89,7 @@
         self._begun.append(line)
         self._begun_size += len(line)
         if not self._may_be_complete(line):
-            return                                      # more lines are due
+            return  # more lines are due
         text, at = b"\n".join(self._begun).decode().strip(), 0
         while at < len(text):
             try:
@@ -97,7 +98,7 @@
                 if error.pos < len(text) or at:
                     raise
                 self._tried_size = self._begun_size
-                return                                  # more lines are due
+                return  # more lines are due
             found.append(whole)
             while at < len(text) and text[at].isspace():
                 at += 1
--- a/cartweir/node/links.py
+++ b/cartweir/node/links.py
@@ -2,6 +2,7 @@
 
 What an attempt has proved is told apart by what has left: until the last byte is with the kernel nothing can have run.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -15,8 +16,7 @@
 from ..hosting.seat import Seat
 from ..hosting.tcp import Connecting, Socket
 from ..interface import Appliance, Dispatch
-from . import http1
-from . import names
+from . import http1, names
 from .front import Call
 from .http1 import Answer, Answers, Malformed
 from .trust import Trust
@@ -24,17 +24,18 @@
 Note = Callable[..., None]
 SWEEP = 100_000
 FADE = 10_000_000
-REST = 20_000               # microseconds: an answer's second copy may come some milliseconds behind it
-HELD = 1_000                # microseconds in which the loop hears of a client that goes: after that it is asked
+REST = 20_000  # microseconds: an answer's second copy may come some milliseconds behind it
+HELD = 1_000  # microseconds in which the loop hears of a client that goes: after that it is asked
 
 
 @dataclass(frozen=True, slots=True)
 class Reach:
     """Times in microseconds."""
+
     connect_timeout: int
     probe_timeout: int
-    idle_time: int              # ours end well before the other side would end them; 0: never
-    most: int                   # connections to all appliances
+    idle_time: int  # ours end well before the other side would end them; 0: never
+    most: int  # connections to all appliances
 
 
 class Links(Pools["Pool"]):
@@ -44,10 +45,10 @@
         super().__init__(lambda address: Pool(self, address))
         self.reach, self.now, self.note = reach, now, note
         self.loop = asyncio.get_event_loop()
-        self.seat: Seat | None = None           # set once the seat is there
-        self.idle: OrderedDict[Link, None] = OrderedDict()      # the one idle for longest first
-        self.count = 0                          # connections that are open or being made
-        self.starved: dict[Pool, None] = {}     # with requests that wait, and no room for a connection; in order
+        self.seat: Seat | None = None  # set once the seat is there
+        self.idle: OrderedDict[Link, None] = OrderedDict()  # the one idle for longest first
+        self.count = 0  # connections that are open or being made
+        self.starved: dict[Pool, None] = {}  # with requests that wait, and no room for a connection; in order
         self.trust = Trust(reach.idle_time)
         self.loop.call_later(SWEEP / 1e6, self._sweep)
         self.loop.call_later(FADE / 1e6, self._fade)
@@ -55,7 +56,7 @@
     def start(self, dispatch: Dispatch, call: Call) -> Attempt:
         attempt = Attempt(self, dispatch, call)
         if dispatch.sent - dispatch.invocation.taken > HELD and call.gone():
-            self.loop.call_soon(call.leave)     # it was held, and nobody waits for it any more
+            self.loop.call_soon(call.leave)  # it was held, and nobody waits for it any more
             self.loop.call_soon(attempt.unsent, ours.MOOT)
         else:
             self.pool(dispatch.appliance).send(attempt)
@@ -102,12 +103,12 @@
 
     def __init__(self, links: Links, address: str) -> None:
         self.links, self.address = links, address
-        self.idle: list[Link] = []              # the one used last goes out first, once it has rested
+        self.idle: list[Link] = []  # the one used last goes out first, once it has rested
         self.opening: set[Connecting] = set()
         self.waiting: deque[_Sent] = deque()
-        self.heard = 0                          # when anything last came from there
+        self.heard = 0  # when anything last came from there
         self.retired = False
-        self._timer: asyncio.TimerHandle | None = None      # while somebody waits for one that rests
+        self._timer: asyncio.TimerHandle | None = None  # while somebody waits for one that rests
 
     def free(self) -> Link | None:
         """A connection that has rested, and on which nothing has come since its last answer."""
@@ -141,8 +142,12 @@
                 self.links.starved[self] = None
                 break
             self.links.count += 1
-            connecting = Connecting(self.links.loop, self.address, self.links.reach.connect_timeout,
-                                    lambda sock, why: self._connected(connecting, sock, why))
+            connecting = Connecting(
+                self.links.loop,
+                self.address,
+                self.links.reach.connect_timeout,
+                lambda sock, why: self._connected(connecting, sock, why),
+            )
             self.opening.add(connecting)
         if self.waiting and self.idle and self._timer is None:
             left = REST - (self.links.now() - self.idle[0].used)
@@ -162,7 +167,7 @@
         self.links.count -= 1
         self.links.freed()
         self.links.note("unconnected", level="debug", address=self.address, why=why)
-        while len(self.waiting) > len(self.opening) + len(self.idle):       # nobody else opens one for it
+        while len(self.waiting) > len(self.opening) + len(self.idle):  # nobody else opens one for it
             self.waiting.popleft().unsent()
 
     def released(self, link: Link) -> None:
@@ -213,7 +218,7 @@
     def __init__(self, pool: Pool, sock: socket.socket) -> None:
         self.pool, self.reader = pool, Answers()
         self.sent: _Sent | None = None
-        self.used, self.idle = pool.links.now(), 0      # idle: for how long before its latest request
+        self.used, self.idle = pool.links.now(), 0  # idle: for how long before its latest request
         self.socket = Socket(pool.links.loop, sock, self)
 
     def go(self, sent: _Sent, data: bytes) -> None:
@@ -221,20 +226,20 @@
         self.reader.next()
         try:
             self.socket.write(data)
-        except OSError as error:                # told once whoever sends it has returned
+        except OSError as error:  # told once whoever sends it has returned
             self.pool.links.loop.call_soon(self._lost, error.strerror or str(error), ours.UNCONNECTED)
 
     def on_data(self, data: bytes) -> None:
         self.pool.heard = self.pool.links.now()
         sent = self.sent
-        if sent is None:                        # nobody asked: whatever follows here is not to be trusted
+        if sent is None:  # nobody asked: whatever follows here is not to be trusted
             self.close()
             return
         try:
             answer = self.reader.feed(data)
         except Malformed as error:
             self.pool.links.note("bad_answer", address=self.pool.address, why=error.reason[:200])
-            self._lost(error.reason, ours.RESET)        # it has run, and may have been answered well
+            self._lost(error.reason, ours.RESET)  # it has run, and may have been answered well
             return
         if answer is None:
             return
@@ -328,7 +333,7 @@
         link, self.link = self.link, None
         if link is None:
             if self.pool is not None and self in self.pool.waiting:
-                self.pool.waiting.remove(self)          # nobody's connection is opened, or counted, for it
+                self.pool.waiting.remove(self)  # nobody's connection is opened, or counted, for it
         else:
             link.sent = None
             link.close()
@@ -352,11 +357,15 @@
 
     def text(self, left: int) -> bytes:
         method, target, head = self.call.head
-        return http1.request(method, target, ((b"Host", b"backend.local"), *head, (b"X-Timeout", b"%du" % left)),
-                             self.call.body)
+        return http1.request(
+            method,
+            target,
+            ((b"Host", b"backend.local"), *head, (b"X-Timeout", b"%du" % left)),
+            self.call.body,
+        )
 
     def still_goes(self) -> bool:
-        if self.call.gone():                    # in the very turn in which the connection is ready
+        if self.call.gone():  # in the very turn in which the connection is ready
             self.links.loop.call_soon(self.call.leave)
             return False
         return self.links.seat.leaves(self.dispatch)
@@ -365,7 +374,9 @@
         if not self.over:
             self.done()
             how = names.outcome_of(answer)
-            self.links.seat.ended(self.dispatch, how, None, ((), [answer.body], ()) if how == ours.SUCCEEDED else None)
+            self.links.seat.ended(
+                self.dispatch, how, None, ((), [answer.body], ()) if how == ours.SUCCEEDED else None
+            )
 
     def lost(self, how: str) -> None:
         if not self.over:
--- a/cartweir/node/names.py
+++ b/cartweir/node/names.py
@@ -1,4 +1,5 @@
 """The platform's words on the sockets and ours, both ways. No I/O, no decision."""
+
 from __future__ import annotations
 
 import re
@@ -12,11 +13,22 @@
 from .http1 import Answer
 
 ID, CLASS, CUSTOMER, KEY = b"x-request-id", b"x-priority-class", b"x-tenant-id", b"x-route-key"
-LIMIT, FINGERPRINT, RETRY, HINT, FURTHER = b"x-timeout", b"idempotency-key", b"x-retried", b"x-cost", b"x-attrs"
+LIMIT, FINGERPRINT, RETRY, HINT, FURTHER = (
+    b"x-timeout",
+    b"idempotency-key",
+    b"x-retried",
+    b"x-cost",
+    b"x-attrs",
+)
 NOT_RUN = b"x-not-processed"
 READY, HEALTHY = b"/-/ready", b"/-/healthy"
 STATES = {"up": ours.READY, "draining": ours.DRAINING, "removed": ours.GONE}
-PHASES = {"testing": ours.ON_TRIAL, "recalling": ours.GOING_BACK, "live": ours.RELEASED, "recalled": ours.WITHDRAWN}
+PHASES = {
+    "testing": ours.ON_TRIAL,
+    "recalling": ours.GOING_BACK,
+    "live": ours.RELEASED,
+    "recalled": ours.WITHDRAWN,
+}
 VERDICTS = {ours.NO_VOTE: "clear", ours.ON: "approve", ours.HOLD: "wait", ours.BACK: "reject"}
 REFUSALS = {"throttled": "full", "conflict": "moot", "internal": "error", "invalid": "error"}
 _LIMIT = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
@@ -72,11 +84,19 @@
 
 def tally_of(told: Mapping[str, Any], operation: Operation) -> Tally:
     """Raises ValueError."""
-    return Tally(whole(told, "build"), operation, whole(told, "count"), whole(told, "failed"),
-                 round(figure(told, "mean_ms", 0) * 1000), round(figure(told, "age_ms", 0) * 1000))
-
-
-def rows_of(entries: Any, now: int, read: Callable[[], float] = time.time) -> tuple[list[tuple[Row, str]], list[str]]:
+    return Tally(
+        whole(told, "build"),
+        operation,
+        whole(told, "count"),
+        whole(told, "failed"),
+        round(figure(told, "mean_ms", 0) * 1000),
+        round(figure(told, "age_ms", 0) * 1000),
+    )
+
+
+def rows_of(
+    entries: Any, now: int, read: Callable[[], float] = time.time
+) -> tuple[list[tuple[Row, str]], list[str]]:
     """Discovery's entries with their addresses, and those that can't be read: these say nothing, and what can't be read
     of another is as if it were not said. Starts are given in Unix time; ours count on the clock that says `now`. Raises
     ValueError where there is no list."""
@@ -94,10 +114,28 @@
                 return value
             unread.append(f"{field} of {name[:60]}: {str(value)[:60]}")
             return None
+
         since, weight = of("since_ms", int, float), of("weight", int, float)
-        started = None if since is None else max(1, now - max(0, round((wall - since) * 1000))) if since else 0
+        started = (
+            None if since is None else max(1, now - max(0, round((wall - since) * 1000))) if since else 0
+        )
         state = of("status", str)
-        rows.append((Row(name, of("release", int), since, started,
-                         ours.READY if state is None and entry.get("status") is None else STATES.get(state, ours.DRAINING),
-                         of("zone", str), of("group", int), of("type", str), weight), of("address", str) or ""))
+        rows.append(
+            (
+                Row(
+                    name,
+                    of("release", int),
+                    since,
+                    started,
+                    ours.READY
+                    if state is None and entry.get("status") is None
+                    else STATES.get(state, ours.DRAINING),
+                    of("zone", str),
+                    of("group", int),
+                    of("type", str),
+                    weight,
+                ),
+                of("address", str) or "",
+            )
+        )
     return rows, unread
--- a/cartweir/node/peers.py
+++ b/cartweir/node/peers.py
@@ -1,4 +1,5 @@
 """Datagrams between agents: figures as text with blanks, as on the simulator's wire. They may be lost, and nobody asks."""
+
 from __future__ import annotations
 
 import asyncio
@@ -8,10 +9,10 @@
 from ..hosting.seat import Seat
 from ..hosting.tcp import split_address
 
-MOST = 256                  # bytes of a datagram
-DATAGRAMS_PER_TURN = 16     # read in one turn of the loop; the others wait in the kernel's buffer
-DATAGRAMS_PER_AGENT = 2     # that the buffers are sized for: its counts and a sum
-KERNEL_BYTES_PER_DATAGRAM = 1_536       # that the kernel charges to a buffer for a datagram of MOST bytes, at most
+MOST = 256  # bytes of a datagram
+DATAGRAMS_PER_TURN = 16  # read in one turn of the loop; the others wait in the kernel's buffer
+DATAGRAMS_PER_AGENT = 2  # that the buffers are sized for: its counts and a sum
+KERNEL_BYTES_PER_DATAGRAM = 1_536  # that the kernel charges to a buffer for a datagram of MOST bytes, at most
 Note = Callable[..., None]
 
 
@@ -24,8 +25,10 @@
         self._peers = [split_address(peer) for peer in peers]
         self._numbers = {peer: number for number, peer in enumerate(self._peers)}
         self._everyone = split_address(everyone) if everyone else None
-        self._socket = socket.socket(socket.AF_INET6 if ":" in split_address(listen)[0] else socket.AF_INET,
-                                     socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+        self._socket = socket.socket(
+            socket.AF_INET6 if ":" in split_address(listen)[0] else socket.AF_INET,
+            socket.SOCK_DGRAM | socket.SOCK_NONBLOCK,
+        )
         self._enlarge(socket.SO_RCVBUF)
         self._enlarge(socket.SO_SNDBUF)
         self._socket.bind(split_address(listen))
@@ -43,7 +46,7 @@
         if to is None:
             targets = [self._everyone] if self._everyone else self._peers
         else:
-            targets = self._peers[to:to + 1]
+            targets = self._peers[to : to + 1]
         if len(text) > MOST:
             self.note("message_too_long", level="warning", bytes=len(text))
             return
@@ -57,12 +60,12 @@
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 text, sender = self._socket.recvfrom(MOST + 1)
-            except OSError:                 # nothing more, or the echo of a datagram that nobody took
+            except OSError:  # nothing more, or the echo of a datagram that nobody took
                 return
             number = self._numbers.get(sender[:2])
             if number is None or number == self.seat.known["me"]:
                 continue
-            if len(text) > MOST:                # its last figure may be cut
+            if len(text) > MOST:  # its last figure may be cut
                 self.note("message_too_long", level="warning", sender=number)
             else:
                 self.seat.told(number, [int(field) for field in text.split() if field.isdigit()])
--- a/cartweir/node/trust.py
+++ b/cartweir/node/trust.py
@@ -1,10 +1,11 @@
 """For how long an idle connection may be trusted: learnt from those that broke under their next request. No I/O."""
+
 from __future__ import annotations
 
 from bisect import bisect_left
 
-EDGES = [16_000 << place for place in range(12)]        # of idle times, in microseconds
-FEW = 6                                                 # uses that a bin needs to tell anything
+EDGES = [16_000 << place for place in range(12)]  # of idle times, in microseconds
+FEW = 6  # uses that a bin needs to tell anything
 
 
 class Trust:
@@ -12,7 +13,7 @@
     ends as a reset, which may have run. It shows in that resets are many more from some idle time on."""
 
     def __init__(self, most: int) -> None:
-        self.limit = self.most = most                   # what is told; 0: for good
+        self.limit = self.most = most  # what is told; 0: for good
         self.used, self.lost = [0.0] * (len(EDGES) + 1), [0.0] * (len(EDGES) + 1)
 
     def note(self, idle: int, lost: bool) -> None:
@@ -26,7 +27,7 @@
     def _settle(self) -> None:
         self.limit, used, lost = self.most, 0.0, 0.0
         for place in range(len(self.used)):
-            usual = (lost + 1) / (used + 4)             # of those that were idle for less
+            usual = (lost + 1) / (used + 4)  # of those that were idle for less
             if place and self.used[place] >= FEW and self.lost[place] / self.used[place] > 2 * usual + 0.1:
                 self.limit = min(EDGES[place - 1], self.most or EDGES[place - 1])
                 return
--- a/cartweir/wire/calls.py
+++ b/cartweir/wire/calls.py
@@ -1,5 +1,6 @@
 """Our own calls on links: a Channel for the client's end, a Service for the server's. Unary requests; answers of
 one message or of many. The router's path does not pass here: this is for news, votes, probes and stand-ins."""
+
 from __future__ import annotations
 
 import asyncio
@@ -60,7 +61,9 @@
         self.body += data
         try:
             self.walk.feed(data)
-            while len(self.body) >= 5 and len(self.body) >= (due := 5 + int.from_bytes(self.body[1:5], "big")):
+            while len(self.body) >= 5 and len(self.body) >= (
+                due := 5 + int.from_bytes(self.body[1:5], "big")
+            ):
                 self.queue.put_nowait(bytes(self.body[5:due]))
                 del self.body[:due]
         except Malformed as error:
@@ -75,8 +78,11 @@
         elif status == 0:
             self.queue.put_nowait(CallError(Status.INTERNAL, "the answer ends within a message"))
         else:
-            self.queue.put_nowait(CallError(Status.UNKNOWN if status is None else status,
-                                            text or "no status", metadata=trailers))
+            self.queue.put_nowait(
+                CallError(
+                    Status.UNKNOWN if status is None else status, text or "no status", metadata=trailers
+                )
+            )
 
     def on_gone(self, stream: Stream, how: str, code: int) -> None:
         self.queue.put_nowait(CallError(Status.UNAVAILABLE, f"call {how}", how in (REFUSED, UNSEEN)))
@@ -88,9 +94,21 @@
 class Channel:
     """Calls to one address over one connection, opened at need and anew after it was lost."""
 
-    def __init__(self, address: str, connect_timeout: int, limits: Limits = Limits(), tap: Tap | None = None,
-                 most: int = 4 << 20) -> None:
-        self.address, self.connect_timeout, self.limits, self.tap, self.most = address, connect_timeout, limits, tap, most
+    def __init__(
+        self,
+        address: str,
+        connect_timeout: int,
+        limits: Limits = Limits(),
+        tap: Tap | None = None,
+        most: int = 4 << 20,
+    ) -> None:
+        self.address, self.connect_timeout, self.limits, self.tap, self.most = (
+            address,
+            connect_timeout,
+            limits,
+            tap,
+            most,
+        )
         self._link: Link | None = None
         self._opening: asyncio.Future | None = None
 
@@ -121,7 +139,7 @@
             stream = await connect(*split_address(self.address), self.connect_timeout)
         except OSError as error:
             raise CallError(Status.UNAVAILABLE, f"{self.address}: {error.strerror or error}", True) from None
-        if stream.closed():             # broken by the other side before this turn
+        if stream.closed():  # broken by the other side before this turn
             raise CallError(Status.UNAVAILABLE, f"{self.address}: broke as it was made", True)
         self._link = Link(stream, True, self.limits, self, self.tap)
         return self._link
@@ -129,9 +147,11 @@
     def _opened(self, done: asyncio.Future) -> None:
         self._opening = None
         if not done.cancelled():
-            done.exception()            # seen by whoever waits
+            done.exception()  # seen by whoever waits
 
-    async def _start(self, path: str, message: bytes, timeout: int | None, metadata: Metadata) -> tuple[Stream, _Call]:
+    async def _start(
+        self, path: str, message: bytes, timeout: int | None, metadata: Metadata
+    ) -> tuple[Stream, _Call]:
         link, call = await self._ready(), _Call(self.most)
         headers = grpc.request_headers(path.encode(), self.address.encode(), timeout, metadata)
         try:
@@ -188,13 +208,14 @@
 @dataclass(eq=False)
 class Request:
     """One call that came in, whole."""
+
     path: str
     headers: Headers
     message: bytes
     stream: Stream
     link: Link
-    gone: bool = False              # the client has left
-    trailers: list = field(default_factory=list)        # metadata to go behind the answer
+    gone: bool = False  # the client has left
+    trailers: list = field(default_factory=list)  # metadata to go behind the answer
     _started: bool = False
 
     def send(self, message: bytes) -> None:
@@ -241,7 +262,9 @@
         try:
             self.walk.feed(data)
         except Malformed as error:
-            self._refuse(stream, Status.RESOURCE_EXHAUSTED if self.walk.messages == 0 else Status.INTERNAL, str(error))
+            self._refuse(
+                stream, Status.RESOURCE_EXHAUSTED if self.walk.messages == 0 else Status.INTERNAL, str(error)
+            )
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
         if stream.gone:
@@ -273,9 +296,9 @@
         super().__init__(max_buffer_size=256 * 1024)
         self.limits, self.tap, self.most = limits, tap, most
         self.handlers: dict[str, Handler] = {}
-        self.default: Handler | None = None     # for every other path
+        self.default: Handler | None = None  # for every other path
         self.links: set[Link] = set()
-        self.accepted = 0                       # connections, since the start
+        self.accepted = 0  # connections, since the start
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
         self.accepted += 1
--- a/cartweir/wire/grpc.py
+++ b/cartweir/wire/grpc.py
@@ -1,5 +1,6 @@
 """gRPC over HTTP/2 as its protocol document (grpc/doc/PROTOCOL-HTTP2.md) words it: no I/O, no state but the
 walk through a body. Times are whole microseconds."""
+
 from __future__ import annotations
 
 import base64
@@ -13,13 +14,14 @@
 Headers = Sequence[tuple[bytes, bytes]]
 
 CONTENT_TYPE = b"application/grpc"
-PUSHBACK = b"grpc-retry-pushback-ms"        # gRFC A6: how long a client is to wait; -1: not to retry
-ATTEMPTS = b"grpc-previous-rpc-attempts"    # gRFC A6: set by clients that retry by themselves
-PREFIX = struct.Struct(">BI")               # compressed flag, message length
+PUSHBACK = b"grpc-retry-pushback-ms"  # gRFC A6: how long a client is to wait; -1: not to retry
+ATTEMPTS = b"grpc-previous-rpc-attempts"  # gRFC A6: set by clients that retry by themselves
+PREFIX = struct.Struct(">BI")  # compressed flag, message length
 
 
 class Status(IntEnum):
     """grpc-status; values from grpc/doc/statuscodes.md."""
+
     OK = 0
     CANCELLED = 1
     UNKNOWN = 2
@@ -67,8 +69,10 @@
 # ---- grpc-message, binary metadata ------------------------------------------------------------------
 def encode_message(text: str) -> bytes:
     """Percent-encoded UTF-8: bytes outside 0x20 to 0x7e, and the percent sign."""
-    return b"".join(bytes((byte,)) if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte
-                    for byte in text.encode())
+    return b"".join(
+        bytes((byte,)) if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte
+        for byte in text.encode()
+    )
 
 
 def decode_message(value: bytes) -> str:
@@ -97,10 +101,19 @@
     return None
 
 
-def request_headers(path: bytes, authority: bytes, timeout: int | None, metadata: Iterable[tuple[bytes, bytes]],
-                    ) -> list[tuple[bytes, bytes]]:
-    headers = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", path), (b":authority", authority),
-               (b"te", b"trailers")]
+def request_headers(
+    path: bytes,
+    authority: bytes,
+    timeout: int | None,
+    metadata: Iterable[tuple[bytes, bytes]],
+) -> list[tuple[bytes, bytes]]:
+    headers = [
+        (b":method", b"POST"),
+        (b":scheme", b"http"),
+        (b":path", path),
+        (b":authority", authority),
+        (b"te", b"trailers"),
+    ]
     if timeout is not None:
         headers.append((b"grpc-timeout", encode_timeout(timeout)))
     headers.append((b"content-type", CONTENT_TYPE))
@@ -112,7 +125,9 @@
     return [(b":status", b"200"), (b"content-type", CONTENT_TYPE), *metadata]
 
 
-def trailers(status: int, text: str = "", metadata: Iterable[tuple[bytes, bytes]] = ()) -> list[tuple[bytes, bytes]]:
+def trailers(
+    status: int, text: str = "", metadata: Iterable[tuple[bytes, bytes]] = ()
+) -> list[tuple[bytes, bytes]]:
     headers = [(b"grpc-status", b"%d" % status)]
     if text:
         headers.append((b"grpc-message", encode_message(text)))
@@ -121,9 +136,16 @@
 
 
 # HTTP answers that carry no grpc-status (grpc/doc/http-grpc-status-mapping.md).
-_HTTP = {b"400": Status.INTERNAL, b"401": Status.UNAUTHENTICATED, b"403": Status.PERMISSION_DENIED,
-         b"404": Status.UNIMPLEMENTED, b"429": Status.UNAVAILABLE, b"502": Status.UNAVAILABLE,
-         b"503": Status.UNAVAILABLE, b"504": Status.UNAVAILABLE}
+_HTTP = {
+    b"400": Status.INTERNAL,
+    b"401": Status.UNAUTHENTICATED,
+    b"403": Status.PERMISSION_DENIED,
+    b"404": Status.UNIMPLEMENTED,
+    b"429": Status.UNAVAILABLE,
+    b"502": Status.UNAVAILABLE,
+    b"503": Status.UNAVAILABLE,
+    b"504": Status.UNAVAILABLE,
+}
 
 
 def status_of(head: Headers, tail: Headers) -> int | None:
@@ -147,10 +169,10 @@
     __slots__ = ("most", "messages", "_head", "_left")
 
     def __init__(self, most: int) -> None:
-        self.most = most                # bytes a message may have
-        self.messages = 0               # whole ones so far
-        self._head = b""                # part of a prefix
-        self._left = -1                 # bytes due of the message under way; -1: a prefix is due
+        self.most = most  # bytes a message may have
+        self.messages = 0  # whole ones so far
+        self._head = b""  # part of a prefix
+        self._left = -1  # bytes due of the message under way; -1: a prefix is due
 
     def feed(self, piece: bytes) -> None:
         """Raises Malformed on a flag that is neither 0 nor 1 or on a message over the bound."""
@@ -158,7 +180,7 @@
         while at < size:
             if self._left < 0:
                 taken = min(5 - len(self._head), size - at)
-                self._head += bytes(piece[at:at + taken])
+                self._head += bytes(piece[at : at + taken])
                 at += taken
                 if len(self._head) < 5:
                     return
@@ -190,6 +212,6 @@
             raise Malformed("compressed message where none was negotiated")
         if at + 5 + size > len(body):
             raise Malformed(f"length prefix says {size} bytes, {len(body) - at - 5} are there")
-        found.append(body[at + 5:at + 5 + size])
+        found.append(body[at + 5 : at + 5 + size])
         at += 5 + size
     return found
--- a/cartweir/wire/link.py
+++ b/cartweir/wire/link.py
@@ -1,4 +1,5 @@
 """A session on a socket: reads, feeds, and writes once a turn of the loop what the session has to say."""
+
 from __future__ import annotations
 
 import asyncio
@@ -12,7 +13,9 @@
 from .grpc import Headers
 from .session import Limits, Listener, Session, Stream
 
-MOST_UNSENT = 256 * 1024    # bytes handed to the socket that it has not taken; more stays in the streams' queues
+MOST_UNSENT = (
+    256 * 1024
+)  # bytes handed to the socket that it has not taken; more stays in the streams' queues
 
 
 class Tap(Protocol):
@@ -35,14 +38,20 @@
 class Link:
     """Owns an IOStream until it is closed. Streams are opened through `session`."""
 
-    def __init__(self, stream: IOStream, client: bool, limits: Limits, owner: LinkOwner, tap: Tap | None = None,
-                 ) -> None:
+    def __init__(
+        self,
+        stream: IOStream,
+        client: bool,
+        limits: Limits,
+        owner: LinkOwner,
+        tap: Tap | None = None,
+    ) -> None:
         self._stream, self._owner, self._tap = stream, owner, tap
         self.session = Session(client, limits, owner)
         self.session.wake = self._wake
         self._scheduled = self._closed = False
         self._unsent = 0
-        self.heard = 0                          # bytes dealt with, before those that are being dealt with now
+        self.heard = 0  # bytes dealt with, before those that are being dealt with now
         stream.set_nodelay(True)
         self.ours, self.theirs = _name(stream.socket, "getsockname"), _name(stream.socket, "getpeername")
         self._number = tap.opened(self.ours, self.theirs) if tap else 0
@@ -75,7 +84,9 @@
             why = "too much to read"
         except Exception as error:  # noqa: BLE001 - a fault of ours ends this link, and is told
             why = f"internal error: {error!r}"
-            asyncio.get_running_loop().call_exception_handler({"message": f"link {self.theirs}", "exception": error})
+            asyncio.get_running_loop().call_exception_handler(
+                {"message": f"link {self.theirs}", "exception": error}
+            )
         self.close(why)
 
     def pause(self) -> None:
@@ -106,7 +117,7 @@
             try:
                 written = self._stream.write(data)
             except StreamClosedError:
-                return                      # the reader hears of it too
+                return  # the reader hears of it too
             written.add_done_callback(lambda done: self._written(len(data), done))
 
     def _written(self, size: int, done: asyncio.Future) -> None:
--- a/cartweir/wire/session.py
+++ b/cartweir/wire/session.py
@@ -3,6 +3,7 @@
 
 Bytes in by receive(), bytes out by pump(). News goes to the listener of each stream and to the session's owner.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -20,7 +21,7 @@
 
 from .grpc import Headers
 
-WIDEST = 2 ** 31 - 1
+WIDEST = 2**31 - 1
 # How a stream can end before its time, as far as its work is concerned.
 RESET, REFUSED, UNSEEN, LOST = "reset", "refused", "unseen", "lost"
 
@@ -28,9 +29,10 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What this side grants the other; sizes in bytes."""
-    streams: int = 1000             # at once, opened by the other side
-    window: int = 256 * 1024        # of each stream: what may be under way unread
-    header_list: int = 32 * 1024    # of one header block, as HTTP/2 counts it
+
+    streams: int = 1000  # at once, opened by the other side
+    window: int = 256 * 1024  # of each stream: what may be under way unread
+    header_list: int = 32 * 1024  # of one header block, as HTTP/2 counts it
 
 
 class Listener(Protocol):
@@ -65,17 +67,29 @@
 class Stream:
     """One stream of a session, from our side."""
 
-    __slots__ = ("session", "ident", "listener", "_queue", "queued", "_tail", "_ending", "_got_headers", "_untaken",
-                 "said_all", "heard_all", "gone")
+    __slots__ = (
+        "session",
+        "ident",
+        "listener",
+        "_queue",
+        "queued",
+        "_tail",
+        "_ending",
+        "_got_headers",
+        "_untaken",
+        "said_all",
+        "heard_all",
+        "gone",
+    )
 
     def __init__(self, session: Session, ident: int, listener: Listener | None) -> None:
         self.session, self.ident, self.listener = session, ident, listener
         self._queue: deque[memoryview] = deque()
-        self.queued = 0                     # bytes that wait for the windows
-        self._tail: Headers | None = None   # trailers that follow them
+        self.queued = 0  # bytes that wait for the windows
+        self._tail: Headers | None = None  # trailers that follow them
         self._ending = False
         self._got_headers = False
-        self._untaken = 0                   # bytes taken by the reader, but not yet granted anew
+        self._untaken = 0  # bytes taken by the reader, but not yet granted anew
         self.said_all = self.heard_all = self.gone = False
 
     def send_headers(self, headers: Headers, end: bool = False) -> None:
@@ -142,21 +156,32 @@
     def __init__(self, client: bool, limits: Limits, owner: Owner) -> None:
         self.client, self.limits, self.owner = client, limits, owner
         self.streams: dict[int, Stream] = {}
-        self.broken: str | None = None      # why no more can be done
-        self.closing = False                # GOAWAY has come or gone: no new streams
+        self.broken: str | None = None  # why no more can be done
+        self.closing = False  # GOAWAY has come or gone: no new streams
         self.pings_due: set[bytes] = set()
         self.wake: Callable[[], None] = lambda: None
-        self._waiting: dict[int, Stream] = {}           # streams with something to send, in turn
-        self._blocked: dict[int, Stream] = {}           # those for which a window is shut
-        self._heard = 0                     # bytes of DATA that the connection's window has not been given back
-        config = H2Configuration(client_side=client, header_encoding=None, validate_outbound_headers=False,
-                                 normalize_outbound_headers=False, validate_inbound_headers=True)
+        self._waiting: dict[int, Stream] = {}  # streams with something to send, in turn
+        self._blocked: dict[int, Stream] = {}  # those for which a window is shut
+        self._heard = 0  # bytes of DATA that the connection's window has not been given back
+        config = H2Configuration(
+            client_side=client,
+            header_encoding=None,
+            validate_outbound_headers=False,
+            normalize_outbound_headers=False,
+            validate_inbound_headers=True,
+        )
         self._h2 = _Frames(config)
         # a slow stream holds its own window only: the connection's is as wide as can be
-        self._h2.local_settings = type(self._h2.local_settings)(client=client, initial_values={
-            SettingCodes.ENABLE_PUSH: 0, SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-            SettingCodes.INITIAL_WINDOW_SIZE: limits.window, SettingCodes.MAX_HEADER_LIST_SIZE: limits.header_list,
-            SettingCodes.MAX_FRAME_SIZE: 16384})
+        self._h2.local_settings = type(self._h2.local_settings)(
+            client=client,
+            initial_values={
+                SettingCodes.ENABLE_PUSH: 0,
+                SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
+                SettingCodes.INITIAL_WINDOW_SIZE: limits.window,
+                SettingCodes.MAX_HEADER_LIST_SIZE: limits.header_list,
+                SettingCodes.MAX_FRAME_SIZE: 16384,
+            },
+        )
         if not client:
             del self._h2.local_settings[SettingCodes.ENABLE_PUSH]
         self._h2.decoder.max_header_list_size = limits.header_list
@@ -170,8 +195,11 @@
     @property
     def room(self) -> bool:
         """A new stream may be opened now."""
-        return not self.broken and not self.closing and (
-            len(self.streams) < self._h2.remote_settings.max_concurrent_streams)
+        return (
+            not self.broken
+            and not self.closing
+            and (len(self.streams) < self._h2.remote_settings.max_concurrent_streams)
+        )
 
     def open(self, headers: Headers, listener: Listener, end: bool = False) -> Stream:
         """A client's: raises RuntimeError where there is no room."""
@@ -195,8 +223,11 @@
             self.closing = True
             # h2 refuses every frame behind its own GOAWAY, so it is written here by hand
             last = self._h2.highest_inbound_stream_id
-            self._h2._data_to_send += (b"\x00\x00\x08\x07\x00\x00\x00\x00\x00" + last.to_bytes(4, "big")
-                                       + int(code).to_bytes(4, "big"))
+            self._h2._data_to_send += (
+                b"\x00\x00\x08\x07\x00\x00\x00\x00\x00"
+                + last.to_bytes(4, "big")
+                + int(code).to_bytes(4, "big")
+            )
             self.wake()
 
     def ping(self, payload: bytes) -> None:
@@ -268,12 +299,17 @@
                 self._h2.send_data(stream.ident, b"", end_stream=True)
                 self._said_all(stream)
         except exceptions.StreamClosedError:
-            pass                        # the reset that closed it is among the news at hand
+            pass  # the reset that closed it is among the news at hand
         return 0
 
     def _push_data(self, stream: Stream, room: int) -> int:
         piece = stream._queue[0]
-        size = min(self._h2.local_flow_control_window(stream.ident), len(piece), self._h2.max_outbound_frame_size, room)
+        size = min(
+            self._h2.local_flow_control_window(stream.ident),
+            len(piece),
+            self._h2.max_outbound_frame_size,
+            room,
+        )
         if size <= 0:
             self._blocked[stream.ident] = stream
             return 0
@@ -402,7 +438,7 @@
         self._blocked.clear()
 
     def _on_settings(self, event: events.RemoteSettingsChanged) -> None:
-        self._unblock()                 # the windows of all streams may have changed
+        self._unblock()  # the windows of all streams may have changed
         self.owner.on_settled()
 
     def _on_pong(self, event: events.PingAckReceived) -> None:
@@ -410,9 +446,14 @@
 
 
 _HANDLERS = {
-    events.RequestReceived: Session._on_request, events.ResponseReceived: Session._on_response,
-    events.TrailersReceived: Session._on_trailers, events.DataReceived: Session._on_data,
-    events.StreamEnded: Session._on_ended, events.WindowUpdated: Session._on_window, events.StreamReset: Session._on_reset,
-    events.ConnectionTerminated: Session._on_goaway, events.RemoteSettingsChanged: Session._on_settings,
+    events.RequestReceived: Session._on_request,
+    events.ResponseReceived: Session._on_response,
+    events.TrailersReceived: Session._on_trailers,
+    events.DataReceived: Session._on_data,
+    events.StreamEnded: Session._on_ended,
+    events.WindowUpdated: Session._on_window,
+    events.StreamReset: Session._on_reset,
+    events.ConnectionTerminated: Session._on_goaway,
+    events.RemoteSettingsChanged: Session._on_settings,
     events.PingAckReceived: Session._on_pong,
 }
--- a/cartweir/wire/tap.py
+++ b/cartweir/wire/tap.py
@@ -3,6 +3,7 @@
 A record is a head (kind, link, microseconds of the machine's monotonic clock, size) and so many bytes. It is
 written through at once, so that a process that is killed leaves all but the last.
 """
+
 from __future__ import annotations
 
 import json
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -1,5 +1,6 @@
 """The platform's side of the node, scripted, on loopback: appliances, discovery, the desk and clients as bare sockets
 whose every byte a test decides."""
+
 from __future__ import annotations
 
 import asyncio
@@ -13,18 +14,59 @@
 from cartweir.node.daemon import Daemon
 
 SETTINGS = {
-    "balancers": 2, "me": 0, "zone": "a", "tick": 5.0, "registryMode": "on_request",
-    "allowed": {"cancel": True, "probing": False, "peers": True, "mayDuplicate": False, "retryAfter": True,
-                "maxRetryAfter": 500.0, "tryLimit": 4, "connectTimeout": 250.0, "keepalive": 30000.0},
-    "safety": {"coldFrom": 0.4, "drainGrace": 2000.0, "fall": 1000.0, "fallMultiple": 4.0, "warmAfter": 5000.0},
-    "familyInfo": {"control": "by_count", "votesToGo": 2, "noesNeeded": 1, "ballotTtl": 6000.0, "voteAllowance": 200.0,
-                   "mostShares": [0.2, 0.5, 1.0], "steps": [0.1, 0.4, 1.0], "span": 4000.0, "spareTries": 1.0,
-                   "oneWay": True, "foundShare": 0.3, "style": "parallel", "per": "all", "callTimeout": 300.0},
+    "balancers": 2,
+    "me": 0,
+    "zone": "a",
+    "tick": 5.0,
+    "registryMode": "on_request",
+    "allowed": {
+        "cancel": True,
+        "probing": False,
+        "peers": True,
+        "mayDuplicate": False,
+        "retryAfter": True,
+        "maxRetryAfter": 500.0,
+        "tryLimit": 4,
+        "connectTimeout": 250.0,
+        "keepalive": 30000.0,
+    },
+    "safety": {
+        "coldFrom": 0.4,
+        "drainGrace": 2000.0,
+        "fall": 1000.0,
+        "fallMultiple": 4.0,
+        "warmAfter": 5000.0,
+    },
+    "familyInfo": {
+        "control": "by_count",
+        "votesToGo": 2,
+        "noesNeeded": 1,
+        "ballotTtl": 6000.0,
+        "voteAllowance": 200.0,
+        "mostShares": [0.2, 0.5, 1.0],
+        "steps": [0.1, 0.4, 1.0],
+        "span": 4000.0,
+        "spareTries": 1.0,
+        "oneWay": True,
+        "foundShare": 0.3,
+        "style": "parallel",
+        "per": "all",
+        "callTimeout": 300.0,
+    },
     "classes": [
         {"name": "view", "effect": "retryable", "aim": 1000.0, "hardLimit": 3000.0, "worth": 1.0},
-        {"name": "order", "effect": "dedup", "dedupScope": "all", "window": 2000.0, "aim": 750.0, "hardLimit": 3000.0,
-         "worth": 3.0},
-        {"name": "issue", "effect": "fragile", "aim": 1000.0, "hardLimit": 3000.0, "worth": 2.0}]}
+        {
+            "name": "order",
+            "effect": "dedup",
+            "dedupScope": "all",
+            "window": 2000.0,
+            "aim": 750.0,
+            "hardLimit": 3000.0,
+            "worth": 3.0,
+        },
+        {"name": "issue", "effect": "fragile", "aim": 1000.0, "hardLimit": 3000.0, "worth": 2.0},
+    ],
+}
 RELEASED = {"build": 1, "stage": 2, "phase": "live", "cap": 1.0, "age_ms": 60000}
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -71,7 +113,9 @@
 
     def __init__(self, script: Callable[[str, dict[str, str], bytes], bytes | None] | None = None) -> None:
         super().__init__(self._serve)
-        self.script = script or (lambda line, headers, body: good(b"made for " + headers["x-request-id"].encode()))
+        self.script = script or (
+            lambda line, headers, body: good(b"made for " + headers["x-request-id"].encode())
+        )
         self.requests: list[tuple[str, dict[str, str], bytes]] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -140,7 +184,9 @@
         while line := await reader.readline():
             call = json.loads(line)
             if call["method"] == "listen":
-                writer.write(json.dumps({"jsonrpc": "2.0", "id": call["id"], "result": True}).encode() + b"\n")
+                writer.write(
+                    json.dumps({"jsonrpc": "2.0", "id": call["id"], "result": True}).encode() + b"\n"
+                )
                 self.listeners.append(writer)
                 for said in self.news:
                     writer.write(said)
@@ -178,8 +224,13 @@
 
 def ask(ident: str, operation: str = "view", **headers: str) -> bytes:
     """A usual client's request; headers by name with _ for -, and None to leave one out."""
-    named = {"Host": "backend.local", "X-Request-ID": ident, "X-Priority-Class": operation, "X-Tenant-Id": "acme",
-             "X-Timeout": "2000m"}
+    named = {
+        "Host": "backend.local",
+        "X-Request-ID": ident,
+        "X-Priority-Class": operation,
+        "X-Tenant-Id": "acme",
+        "X-Timeout": "2000m",
+    }
     if operation != "view":
         named["Idempotency-Key"] = f"key of {ident}".replace(" ", "-")
         named["Content-Length"] = "4"
@@ -190,8 +241,15 @@
 
 
 class Ground:
-    def __init__(self, daemon: Daemon, address: str, discovery: Discovery, desk: Desk, appliances: list[Appliance],
-                 notes: list[tuple[str, dict[str, Any]]]) -> None:
+    def __init__(
+        self,
+        daemon: Daemon,
+        address: str,
+        discovery: Discovery,
+        desk: Desk,
+        appliances: list[Appliance],
+        notes: list[tuple[str, dict[str, Any]]],
+    ) -> None:
         self.daemon, self.address, self.discovery, self.desk = daemon, address, discovery, desk
         self.appliances, self.notes = appliances, notes
 
@@ -209,21 +267,51 @@
 
 
 def entry(name: str, server: Server, **more: Any) -> dict[str, Any]:
-    return {"name": name, "address": server.address, "zone": "a", "type": "m", "group": 1, "status": "up", "weight": 1.0,
-            "since_ms": 0, "release": 1, **more}
+    return {
+        "name": name,
+        "address": server.address,
+        "zone": "a",
+        "type": "m",
+        "group": 1,
+        "status": "up",
+        "weight": 1.0,
+        "since_ms": 0,
+        "release": 1,
+        **more,
+    }
 
 
 @contextlib.asynccontextmanager
-async def ground(*appliances: Appliance, sockets: int = 256, news: dict[str, Any] | None = None,
-                 drain_grace: float = 2000.0, **allowed: Any) -> AsyncIterator[Ground]:
+async def ground(
+    *appliances: Appliance,
+    sockets: int = 256,
+    news: dict[str, Any] | None = None,
+    drain_grace: float = 2000.0,
+    **allowed: Any,
+) -> AsyncIterator[Ground]:
     for appliance in appliances:
         await appliance.start()
     endpoints = [entry(f"s{number}", appliance) for number, appliance in enumerate(appliances)]
     discovery, desk = await Discovery(endpoints).start(), await Desk().start()
-    settings = {**SETTINGS, "allowed": {**SETTINGS["allowed"], **allowed},
-                "safety": {**SETTINGS["safety"], "drainGrace": drain_grace}}
-    config = Config("n0", "127.0.0.1:0", discovery.address, 7, sockets, None, [], None, desk.address, news or RELEASED,
-                    {"index": 1, "snapshot": True, "endpoints": endpoints}, known_from(settings))
+    settings = {
+        **SETTINGS,
+        "allowed": {**SETTINGS["allowed"], **allowed},
+        "safety": {**SETTINGS["safety"], "drainGrace": drain_grace},
+    }
+    config = Config(
+        "n0",
+        "127.0.0.1:0",
+        discovery.address,
+        7,
+        sockets,
+        None,
+        [],
+        None,
+        desk.address,
+        news or RELEASED,
+        {"index": 1, "snapshot": True, "endpoints": endpoints},
+        known_from(settings),
+    )
     daemon = Daemon(config, lambda: config)
     notes: list[tuple[str, dict[str, Any]]] = []
     daemon.note = lambda event, level="info", **facts: notes.append((event, facts))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,5 @@
 """Hard cases of single calls, between scripted clients and appliances; asserted on what passed on the sockets."""
+
 from __future__ import annotations
 
 import asyncio
@@ -7,12 +8,28 @@
 
 import grpc
 import pytest
+from peers import (
+    ISSUE,
+    ORDER,
+    TILES,
+    VIEW,
+    Appliance,
+    Process,
+    answer,
+    deaf,
+    framed,
+    garbage,
+    head,
+    large,
+    nothing,
+    rig,
+    tail,
+    trailers_only,
+)
 from tornado.iostream import IOStream
 
 from cartweir.proto import agent_pb2 as pb
 from cartweir.wire.calls import CallError, Channel
-from peers import (ISSUE, ORDER, TILES, VIEW, Appliance, Process, answer, deaf, framed, garbage, head, large, nothing, rig, tail,
-                   trailers_only)
 
 WAIT = 30
 
@@ -20,6 +37,7 @@
 def sockets(test, wait=WAIT):
     """Runs a coroutine test on a loop of its own, which it must leave within so many seconds; what is still running then
     is named, and what will not be cancelled is left behind."""
+
     @functools.wraps(test)
     def run(*args, **kwargs):
         loop = asyncio.new_event_loop()
@@ -42,6 +60,7 @@
             loop.run_until_complete(loop.shutdown_asyncgens())
             asyncio.set_event_loop(None)
             loop.close()
+
     return run
 
 
@@ -52,6 +71,7 @@
     def act(who, peer, stream, number):
         seen.append(number)
         return (first if len(seen) == 1 else then)(who, peer, stream, number)
+
     return act
 
 
@@ -70,7 +90,11 @@
         assert got.body == framed(b"fine") and got.ends == 1
         assert got.tail == {"grpc-status": "0", "x-from": "appliance"}
         (request,) = it.appliances[0].requests
-        assert request["x-anything"] == "kept" and request["cartweir-key"] == "k1" and request["te"] == "trailers"
+        assert (
+            request["x-anything"] == "kept"
+            and request["cartweir-key"] == "k1"
+            and request["te"] == "trailers"
+        )
         assert request["cartweir-dispatch"] == "1.0" and request[":path"] == VIEW
 
 
@@ -85,7 +109,9 @@
 async def test_a_client_that_nobody_here_wrote(tmp_path):
     async with rig(tmp_path, answer) as it:
         async with grpc.aio.insecure_channel(it.address) as channel:
-            call = channel.unary_unary(VIEW)(b"please", timeout=2, metadata=[("cartweir-key", "k"), ("x-blob-bin", b"\0\xff")])
+            call = channel.unary_unary(VIEW)(
+                b"please", timeout=2, metadata=[("cartweir-key", "k"), ("x-blob-bin", b"\0\xff")]
+            )
             assert await call == b"fine" and it.appliances[0].requests[0]["x-blob-bin"] == "AP8"
             assert ("x-from", "appliance") in list(await call.trailing_metadata())
             stream = channel.unary_stream(TILES)(b"please", timeout=2)
@@ -97,10 +123,14 @@
 
 @sockets
 async def test_a_terminated_call_is_not_retried_by_the_clients_library(tmp_path):
-    policy = ('{"methodConfig": [{"name": [{}], "retryPolicy": {"maxAttempts": 4, "initialBackoff": "0.01s", '
-              '"maxBackoff": "0.01s", "backoffMultiplier": 1, "retryableStatusCodes": ["UNKNOWN", "UNAVAILABLE"]}}]}')
+    policy = (
+        '{"methodConfig": [{"name": [{}], "retryPolicy": {"maxAttempts": 4, "initialBackoff": "0.01s", '
+        '"maxBackoff": "0.01s", "backoffMultiplier": 1, "retryableStatusCodes": ["UNKNOWN", "UNAVAILABLE"]}}]}'
+    )
     async with rig(tmp_path, trailers_only("13")) as it:
-        async with grpc.aio.insecure_channel(it.address, options=[("grpc.service_config", policy)]) as channel:
+        async with grpc.aio.insecure_channel(
+            it.address, options=[("grpc.service_config", policy)]
+        ) as channel:
             with pytest.raises(grpc.aio.AioRpcError) as error:
                 await channel.unary_unary(ISSUE)(b"please", timeout=2)
             assert error.value.code() == grpc.StatusCode.UNKNOWN
@@ -114,8 +144,10 @@
         client = await it.client()
         got = client.call(VIEW)
         while not it.dispatched:
-            await asyncio.wait([asyncio.ensure_future(a.asked.wait()) for a in it.appliances],
-                               return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [asyncio.ensure_future(a.asked.wait()) for a in it.appliances],
+                return_when=asyncio.FIRST_COMPLETED,
+            )
         client.leave(got)
         (hit,) = [a for a in it.appliances if a.requests]
         await hit.reset.wait()
@@ -131,7 +163,7 @@
         assert wrong.status == "3" and "one to eight digits" in wrong.tail["grpc-message"]
         sent = it.dispatched
         loop = asyncio.get_running_loop()
-        for timeout in (None, "1H"):            # the operation's limit of 2 s holds in both
+        for timeout in (None, "1H"):  # the operation's limit of 2 s holds in both
             began = loop.time()
             got = await ask(it, ISSUE, timeout=timeout)
             assert got.tail["cartweir-answer"] == "terminated" and loop.time() - began < 2.0
@@ -173,7 +205,7 @@
 @sockets
 async def test_streams_beyond_the_grant_are_refused_unseen(tmp_path):
     async with rig(tmp_path, nothing, wire="streams = 3") as it:
-        client = await it.client()              # sends before the agent's settings have come
+        client = await it.client()  # sends before the agent's settings have come
         calls = [client.call(ISSUE) for _ in range(5)]
         await calls[4].done.wait()
         assert [got.reset for got in calls] == [None, None, None, 7, 7]
@@ -259,12 +291,14 @@
 @sockets
 async def test_goaway_tells_which_streams_never_ran(tmp_path):
     """A side-effecting call goes again if, and only if, the GOAWAY's mark lies below its stream."""
+
     def leave(mark):
         def act(who, peer, stream, number):
             peer.write()
             peer.writer.write(b"\0\0\x08\x07\0\0\0\0\0" + (stream + mark).to_bytes(4, "big") + bytes(4))
-            if mark == 0:               # seen: it is still answered, on the connection that goes away
+            if mark == 0:  # seen: it is still answered, on the connection that goes away
                 answer(who, peer, stream, number)
+
         return act
 
     act = after_first(leave(-1))
@@ -295,6 +329,7 @@
     def late(who, peer, stream, number):
         head(peer, stream)
         tail(peer, stream, "8")
+
     async with rig(tmp_path, late, late) as it:
         assert (await ask(it, ISSUE)).tail["cartweir-answer"] == "terminated" and it.dispatched == 1
 
@@ -345,7 +380,7 @@
 async def test_garbage_instead_of_http2(tmp_path):
     async with rig(tmp_path, garbage) as it:
         got = await ask(it, ISSUE, timeout="1S")
-        assert got.tail["cartweir-answer"] == "throttled"       # it is known that nothing ran
+        assert got.tail["cartweir-answer"] == "throttled"  # it is known that nothing ran
         good = await it.add(answer)
         await it.log.next("list")
         assert (await ask(it, ISSUE)).status == "0" and len(good.requests) == 1
@@ -367,9 +402,10 @@
 @sockets
 async def test_connection_whose_other_end_is_silent_gets_nothing_new(tmp_path):
     """Half-open: no reset comes. After a time-out and an unanswered ping the next call opens another connection."""
+
     def mute(who, peer, stream, number):
         if len(who.peers) == 1:
-            peer.task.cancel()              # reads no more, answers no ping
+            peer.task.cancel()  # reads no more, answers no ping
         else:
             answer(who, peer, stream, number)
 
@@ -417,10 +453,13 @@
 
         async def accept(reader, writer):
             await settle.wait()
-            writer.write(bytes.fromhex("000000040000000000"))       # an empty SETTINGS
+            writer.write(bytes.fromhex("000000040000000000"))  # an empty SETTINGS
+
         server = await asyncio.start_server(accept, "127.0.0.1", 0)
         slow = Appliance(answer)
-        slow.entry = pb.Entry(appliance="slow", address="127.0.0.1:%d" % server.sockets[0].getsockname()[1], build=1, run=1)
+        slow.entry = pb.Entry(
+            appliance="slow", address="127.0.0.1:%d" % server.sockets[0].getsockname()[1], build=1, run=1
+        )
         it.registry.put(slow.entry)
         await it.log.next("list")
         client = await it.client()
@@ -451,24 +490,28 @@
             left.leave(left.call(VIEW))
             while it.daemon.seat.calls or it.daemon.seat.attempts:
                 await asyncio.sleep(0.002)
-            await asyncio.sleep(0.1)            # a heartbeat: answers are seen to have gone
+            await asyncio.sleep(0.1)  # a heartbeat: answers are seen to have gone
             gc.set_debug(gc.DEBUG_SAVEALL)
             gc.collect()
-            found = {type(thing).__name__ for thing in gc.garbage if type(thing).__module__.startswith("cartweir")}
+            found = {
+                type(thing).__name__ for thing in gc.garbage if type(thing).__module__.startswith("cartweir")
+            }
         finally:
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        assert not found - {"LinkStream"}       # of connections that nobody took, not of calls
+        assert not found - {"LinkStream"}  # of connections that nobody took, not of calls
 
 
 @sockets
 async def test_a_connection_that_broke_as_it_was_made_is_an_answer_like_any_other(monkeypatch):
     """Seen between controllers whose peer was killed: the caller's task ended with an error of ours and was never run again."""
+
     async def broken(host, port, timeout):
         stream = IOStream(socket.socket())
         stream.close()
         return stream
+
     monkeypatch.setattr("cartweir.wire.calls.connect", broken)
     with pytest.raises(CallError) as error:
         await Channel("127.0.0.1:1", 100_000).unary("/a.B/C", b"", 100_000)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,9 +1,11 @@
 """Settings of other customers: whatever stands at a key, the agent serves by it, or does not start and says why."""
+
 from __future__ import annotations
 
 import copy
 import json
 
+import ground
 import pytest
 
 from cartweir import interface as ours
@@ -11,14 +13,59 @@
 from cartweir.hosting.known import SETTINGS, SettingError, known_from
 from cartweir.interface import Appliance, Dispatch, Invocation, Outcome, Stage
 from cartweir.node import config
-import ground
 
-VALUES = [..., None, 0, 0.0, 1, 3.5, 1e9, -1, 1e400, float("nan"), True, False, "", "x", [], [0.5], {}, [{}], {"a": 1}]
-PATHS = sorted({path for path, _, _ in SETTINGS.values()} | {
-    "classes", "parties", "failureDomains", "registryMode", "report", "worthBy", "allowed", "safety", "familyInfo",
-    *(f"classes.{number}.{name}" for number in (0, 1, 2) for name in (
-        "name", "effect", "dedupScope", "window", "aim", "hardLimit", "worth", "lateValue", "stream")),
-    "parties.0.name", "parties.0.quotaRps"})
+VALUES = [
+    ...,
+    None,
+    0,
+    0.0,
+    1,
+    3.5,
+    1e9,
+    -1,
+    1e400,
+    float("nan"),
+    True,
+    False,
+    "",
+    "x",
+    [],
+    [0.5],
+    {},
+    [{}],
+    {"a": 1},
+]
+PATHS = sorted(
+    {path for path, _, _ in SETTINGS.values()}
+    | {
+        "classes",
+        "parties",
+        "failureDomains",
+        "registryMode",
+        "report",
+        "worthBy",
+        "allowed",
+        "safety",
+        "familyInfo",
+        *(
+            f"classes.{number}.{name}"
+            for number in (0, 1, 2)
+            for name in (
+                "name",
+                "effect",
+                "dedupScope",
+                "window",
+                "aim",
+                "hardLimit",
+                "worth",
+                "lateValue",
+                "stream",
+            )
+        ),
+        "parties.0.name",
+        "parties.0.quotaRps",
+    }
+)
 
 
 def settings_with(path, value):
@@ -58,8 +105,12 @@
     door = Door()
     engine = Engine(1_000_000, 7, known, door)
     agent, now, taken = engine.agent, 1_000_000, []
-    fleet = [Appliance(f"s{number}", 1 + number % 2, started=(0, 1_100_000)[number % 2], weight=(1.0, 0.5)[number % 2])
-             for number in range(6)]
+    fleet = [
+        Appliance(
+            f"s{number}", 1 + number % 2, started=(0, 1_100_000)[number % 2], weight=(1.0, 0.5)[number % 2]
+        )
+        for number in range(6)
+    ]
     agent.on_list("whole", fleet)
     for number in range(len(known["shares"])):
         agent.on_stage(Stage(2, number, ours.ON_TRIAL, known["caps"][number], 0))
@@ -69,7 +120,9 @@
         engine.enter(now)
         engine.alarm()
         operation = known["operations"][turn % len(known["operations"])]
-        inv = Invocation(turn, operation, now, now + min(2_000_000, operation.time_limit), "acme", key=f"k{turn % 3}")
+        inv = Invocation(
+            turn, operation, now, now + min(2_000_000, operation.time_limit), "acme", key=f"k{turn % 3}"
+        )
         taken.append(inv)
         engine.take(inv)
         for dispatch in [dispatch for dispatch in door.dispatched if dispatch.ended is None]:
@@ -91,8 +144,18 @@
 
 def whole_config(tmp_path, settings):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "ff",
-                                "pipeline": {"address": "127.0.0.1:2"}, "settings": settings}))
+    file.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:1",
+                "seed": "ff",
+                "pipeline": {"address": "127.0.0.1:2"},
+                "settings": settings,
+            }
+        )
+    )
     return config.read({"EDGE_CONFIG": str(file)}).known
 
 
@@ -102,14 +165,18 @@
         try:
             known = whole_config(tmp_path, settings_with(path, value))
         except config.ConfigError as error:
-            assert "config.json: settings." in str(error) and " due" in str(error) and "\n" not in str(error), error
+            assert (
+                "config.json: settings." in str(error) and " due" in str(error) and "\n" not in str(error)
+            ), error
             continue
         taken, door = play(known)
         for inv in taken:
             assert door.answers.count(inv) == 1, (path, value, inv)
 
 
-@pytest.mark.parametrize("words", [{"effect": "idempotent"}, {"dedupScope": "region", "effect": "dedup"}], ids=str)
+@pytest.mark.parametrize(
+    "words", [{"effect": "idempotent"}, {"dedupScope": "region", "effect": "dedup"}], ids=str
+)
 def test_words_that_are_not_known_are_named_with_those_that_are(words, tmp_path):
     settings = copy.deepcopy(ground.SETTINGS)
     settings["classes"][1].update(words)
@@ -125,8 +192,9 @@
             for per in ("all", "each_class"):
                 for scope in ("all", "zone", "cell"):
                     settings = copy.deepcopy(ground.SETTINGS)
-                    settings["familyInfo"].update(control=control, style=style, per=per, closedStages=1,
-                                                  autoAfter=5000.0, toPause=1)
+                    settings["familyInfo"].update(
+                        control=control, style=style, per=per, closedStages=1, autoAfter=5000.0, toPause=1
+                    )
                     settings["classes"][1]["dedupScope"] = scope
                     taken, door = play(known_from(settings))
                     assert sorted(inv.ident for inv in door.answers) == [inv.ident for inv in taken]
@@ -143,8 +211,10 @@
     settings["safety"]["coldFrom"] = 0.0
     door, known = Door(), known_from(settings)
     engine = Engine(4_000_000, 7, known, door)
-    engine.agent.on_list("whole", [Appliance("s0", 1, started=1_000_000), Appliance("s1", 1, started=4_000_000)])
+    engine.agent.on_list(
+        "whole", [Appliance("s0", 1, started=1_000_000), Appliance("s1", 1, started=4_000_000)]
+    )
     engine.agent.on_stage(Stage(1, 2, ours.RELEASED, 1.0, 0))
-    engine.agent.credit = -0.01             # what the invocation earns makes up for it
+    engine.agent.credit = -0.01  # what the invocation earns makes up for it
     engine.take(Invocation(1, known["operations"][0], 4_000_000, 6_000_000))
     assert [dispatch.appliance.ident for dispatch in door.dispatched] == ["s0"]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,6 @@
 """What is still owed in the instant in which something ends: each crossing is forced on loopback sockets, by doing both
 things within one turn of the node's loop, and judged by what passed."""
+
 from __future__ import annotations
 
 import asyncio
@@ -10,12 +11,12 @@
 import sys
 
 import pytest
+from ground import SETTINGS, Appliance, Discovery, Held, ask, entry, good, ground, read_request
+from test_calls import sockets
 
 from cartweir import interface as ours
 from cartweir.hosting import tcp
 from cartweir.node import config, front, links
-from ground import SETTINGS, Appliance, Discovery, Held, ask, entry, good, ground, read_request
-from test_calls import sockets
 
 LARGE = bytes(60_000)
 
@@ -51,8 +52,14 @@
 
     @staticmethod
     def length(data):
-        return next((int(line.split(b":")[1]) for line in data.partition(b"\r\n\r\n")[0].split(b"\r\n")
-                     if line.lower().startswith(b"content-length")), 0)
+        return next(
+            (
+                int(line.split(b":")[1])
+                for line in data.partition(b"\r\n\r\n")[0].split(b"\r\n")
+                if line.lower().startswith(b"content-length")
+            ),
+            0,
+        )
 
     async def ended(self):
         try:
@@ -82,12 +89,14 @@
 @pytest.fixture
 def narrow(monkeypatch):
     """Little of what the node writes to clients fits into its kernel."""
+
     class Narrow(tcp.Socket):
         __slots__ = ()
 
         def __init__(self, loop, sock, owner):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             super().__init__(loop, sock, owner)
+
     monkeypatch.setattr(front, "Socket", Narrow)
 
 
@@ -105,18 +114,26 @@
         inside = the_client(it)
         client.write(ask("slow", Connection="close" if ending == "linger" else None))
         await until(lambda: inside.served)
-        assert inside.socket.unsent                     # else nothing is tried here
+        assert inside.socket.unsent  # else nothing is tried here
         told = it.daemon.clock.now()
         if ending == "drain":
             it.daemon.terminate()
         crowd = [Raw(it.address) for _ in range(40)] if ending == "eviction" else []
-        await until(lambda: it.daemon.clock.now() > told + 10 * front.LINGER and (
-            not crowd or it.daemon.front.evicted or len(it.daemon.front.clients) == it.daemon.front.most))
+        await until(
+            lambda: (
+                it.daemon.clock.now() > told + 10 * front.LINGER
+                and (
+                    not crowd
+                    or it.daemon.front.evicted
+                    or len(it.daemon.front.clients) == it.daemon.front.most
+                )
+            )
+        )
         assert inside in it.daemon.front.clients and not it.daemon.ended.is_set()
         status, head, body = await client.answer()
         assert (status, body) == (200, LARGE)
         if ending != "eviction":
-            assert await client.ended()                 # and then it ends, as was told
+            assert await client.ended()  # and then it ends, as was told
             client.socket.close()
         if ending == "drain":
             await it.daemon.ended.wait()
@@ -142,7 +159,7 @@
         client = Raw(it.address)
         await accepted(it, 1)
         inside = the_client(it)
-        if ending == "drain":                           # one that has been served, and was idle
+        if ending == "drain":  # one that has been served, and was idle
             client.write(ask("first"))
             assert (await client.answer())[0] == 200
             it.daemon.terminate()
@@ -185,7 +202,7 @@
         for number, client in enumerate(inside):
             client.write(ask(f"in{number}"))
         await until(lambda: len(it.daemon.front.calls) == most)
-        outside = [Raw(it.address) for _ in range(5)]   # connected, in the listen queue: no place is left
+        outside = [Raw(it.address) for _ in range(5)]  # connected, in the listen queue: no place is left
         for number, client in enumerate(outside):
             client.write(ask(f"out{number}"))
         it.daemon.terminate()
@@ -213,10 +230,14 @@
 
 @pytest.mark.parametrize("operation,status", [("view", 429), ("order", 429), ("issue", 500)])
 @sockets
-async def test_what_is_owed_for_longer_than_is_left_is_answered_before_the_end_is_forced(operation, status, monkeypatch):
+async def test_what_is_owed_for_longer_than_is_left_is_answered_before_the_end_is_forced(
+    operation, status, monkeypatch
+):
     """Taken before SIGTERM, with a time limit beyond SIGKILL: told where to go, as far as that is true."""
     monkeypatch.setattr(front, "LAST", (50_000, 50_000))
-    monkeypatch.setitem(SETTINGS, "classes", [{**one, "hardLimit": 60_000.0, "aim": 50_000.0} for one in SETTINGS["classes"]])
+    monkeypatch.setitem(
+        SETTINGS, "classes", [{**one, "hardLimit": 60_000.0, "aim": 50_000.0} for one in SETTINGS["classes"]]
+    )
     held = Held()
     async with ground(held) as it:
         client = Raw(it.address)
@@ -267,14 +288,16 @@
     held = Held()
     async with ground(held, sockets=64) as it:
         await it.noted("list")
-        it.daemon.seat.engine.agent.limit = 1000.0      # nothing is held inside: a request that is read goes out at once
+        it.daemon.seat.engine.agent.limit = (
+            1000.0  # nothing is held inside: a request that is read goes out at once
+        )
         inside = [Raw(it.address) for _ in range(it.daemon.front.most)]
         for number, client in enumerate(inside):
             client.write(ask(f"in{number}"))
         await held.got(len(inside))
         outside = Raw(it.address)
         outside.write(ask("gone"))
-        outside.socket.close()                          # its request and its end are both in the kernel
+        outside.socket.close()  # its request and its end are both in the kernel
         held.go.set()
         for client in inside:
             await client.answer()
@@ -303,11 +326,15 @@
         other = Raw(it.address)
         other.write(ask("other"))
         assert (await other.answer())[::2] == (200, LARGE)
-        assert [headers["x-request-id"] for _, headers, _ in it.appliances[0].requests] == ["gone", "other"] and not faults
+        assert [headers["x-request-id"] for _, headers, _ in it.appliances[0].requests] == [
+            "gone",
+            "other",
+        ] and not faults
 
 
 class Late(tcp.Connecting):
     """A connection that is ready when the test says so."""
+
     made: list[Late] = []
 
     def __init__(self, loop, address, timeout, done):
@@ -424,7 +451,8 @@
                 if how == "reset":
                     await writer.drain()
                     writer.transport.get_extra_info("socket").setsockopt(
-                        socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+                        socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
+                    )
                 return
             writer.write(answer)
 
@@ -439,7 +467,9 @@
     async with ground(*(Cutting(plan) for _ in range(4))) as it:
         client = Raw(it.address)
         for cut in range(whole + 1):
-            it.daemon.seat.engine.agent.spare_retries = 10.0        # what is tried here is one exchange, not a storm of them
+            it.daemon.seat.engine.agent.spare_retries = (
+                10.0  # what is tried here is one exchange, not a storm of them
+            )
             for appliance in it.daemon.seat.roster.appliances.values():
                 appliance.learned.silences = appliance.learned.strikes = appliance.learned.shut_until = 0
             plan.append((cut, how))
@@ -493,6 +523,7 @@
             if last:
                 writer.write(last.pop())
                 self.copies += 1
+
         while True:
             request = await read_request(reader)
             self.requests.append(request)
@@ -531,12 +562,13 @@
         (inv,), (attempt,) = it.daemon.seat.calls, it.daemon.seat.attempts.values()
         it.discovery.tell(entry("s1", it.appliances[1]))
         await until(lambda: it.daemon.seat.roster.appliances["s1"].state == ours.READY)
-        held.writers[-1].write(good(b"late"))           # goes to the kernel at once
+        held.writers[-1].write(good(b"late"))  # goes to the kernel at once
         if what == "time-out":
             attempt._out_of_time()
         elif what == "drain notice":
-            it.daemon.discovery._listing({"index": 9, "snapshot": False,
-                                          "endpoints": [entry("s0", held, status="draining")]})
+            it.daemon.discovery._listing(
+                {"index": 9, "snapshot": False, "endpoints": [entry("s0", held, status="draining")]}
+            )
         else:
             client.socket.close()
             await until(lambda: not it.daemon.seat.calls)
@@ -549,7 +581,10 @@
         elif operation == "issue":
             assert (status, again) == (500, [])
         else:
-            assert (status, body, again) == (200, b"made for crossing", ["crossing"]) or (status, again) == (429, [])
+            assert (status, body, again) == (200, b"made for crossing", ["crossing"]) or (status, again) == (
+                429,
+                [],
+            )
 
 
 # ---- faults of our own ------------------------------------------------------------------------------------------------
@@ -557,6 +592,7 @@
 @sockets
 async def test_a_fault_inside_with_an_invocation_open_is_answered_and_told(where, monkeypatch):
     """It is raised once, amid an invocation's decisions; its client has one final answer, and the next is served."""
+
     def script(line, headers, body):
         return None if headers["x-request-id"] == "hit" else good(b"fine")
 
@@ -570,6 +606,7 @@
                 raised.append(True)
                 raise ZeroDivisionError("on purpose")
             return method(self, *arguments)
+
         monkeypatch.setattr(type(agent), where, faulty)
         client = Raw(it.address)
         client.write(ask("hit", "view" if where != "give_up" else "issue", X_Timeout="600m"))
@@ -595,6 +632,7 @@
             if engine.agent.open and not raised:
                 raised.append(True)
                 raise KeyError("on purpose")
+
         engine.settle = faulty
         client = Raw(it.address)
         client.write(ask("a"))
@@ -639,9 +677,19 @@
 
         def say(data):
             for at in range(0, len(data), cut or len(data)):
-                piece = data[at:at + (cut or len(data))]
+                piece = data[at : at + (cut or len(data))]
                 it.discovery.watches[0].write(b"%x\r\n%b\r\n" % (len(piece), piece))
-        say(indented({"index": 2, "snapshot": False, "endpoints": [entry("s0", it.appliances[0], status="draining")]}) + b"\n")
+
+        say(
+            indented(
+                {
+                    "index": 2,
+                    "snapshot": False,
+                    "endpoints": [entry("s0", it.appliances[0], status="draining")],
+                }
+            )
+            + b"\n"
+        )
         await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING)
         say(b"\n" + indented({"index": 3, "snapshot": True, "endpoints": [entry("s1", it.appliances[1])]}, 1))
         await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.GONE)
@@ -670,6 +718,7 @@
                 raised.append(True)
                 raise KeyError("on purpose")
             return listed(how, *arguments, **more)
+
         monkeypatch.setattr(it.daemon.seat, "listed", faulty)
         it.discovery.tell(entry("s0", it.appliances[0], status="draining"))
         assert "KeyError" in (await it.noted("internal_error"))["error"]
@@ -688,14 +737,24 @@
             await reader.readuntil(b"\r\n\r\n")
             asked.append(writer)
             await reader.read()
+
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        watched, it.daemon.discovery.address = it.daemon.discovery.address, "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        watched, it.daemon.discovery.address = (
+            it.daemon.discovery.address,
+            "127.0.0.1:%d" % server.sockets[0].getsockname()[1],
+        )
         it.daemon.fetch_list()
         await until(lambda: asked)
         it.daemon.discovery.address = watched
         it.discovery.tell(entry("s0", it.appliances[0], status="draining"))
         await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING)
-        asked[0].write(good(json.dumps({"index": 1, "snapshot": True, "endpoints": [entry("s0", it.appliances[0])]}).encode()))
+        asked[0].write(
+            good(
+                json.dumps(
+                    {"index": 1, "snapshot": True, "endpoints": [entry("s0", it.appliances[0])]}
+                ).encode()
+            )
+        )
         assert (await it.noted("list_old")) == {"version": 1, "held": 2}
         assert it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING
         server.close()
@@ -708,7 +767,9 @@
         await it.noted("list")
         it.discovery.index = 40
         it.discovery.tell(entry("s0", it.appliances[0], weight=0.0))
-        await until(lambda: it.daemon.discovery.version == 41 and it.daemon.seat.roster.appliances["s0"].weight == 0.0)
+        await until(
+            lambda: it.daemon.discovery.version == 41 and it.daemon.seat.roster.appliances["s0"].weight == 0.0
+        )
         it.discovery.index, it.discovery.endpoints = 2, [entry("s1", it.appliances[1])]
         it.discovery.tell(entry("s0", it.appliances[0]))
         await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.GONE)
@@ -724,7 +785,7 @@
     async with ground(Appliance()) as it:
         await it.noted("list")
         lost = it.daemon.discovery
-        it.daemon.seat.engine.agent.subscribed = False      # as in a process that has heard nothing yet
+        it.daemon.seat.engine.agent.subscribed = False  # as in a process that has heard nothing yet
         lost.move(f"127.0.0.1:{port}")
         await it.noted("discovery_lost")
         back = Discovery([entry("s0", it.appliances[0], status="draining")])
@@ -733,10 +794,12 @@
         back.stop()
 
 
-JUNK = [None, "", "x", -1, 1e400, float("nan"), True, [], {}, [1], 10 ** 30]
+JUNK = [None, "", "x", -1, 1e400, float("nan"), True, [], {}, [1], 10**30]
 
 
-@pytest.mark.parametrize("field", ["name", "address", "zone", "type", "group", "status", "weight", "since_ms", "release"])
+@pytest.mark.parametrize(
+    "field", ["name", "address", "zone", "type", "group", "status", "weight", "since_ms", "release"]
+)
 @sockets
 async def test_an_entry_with_junk_in_a_field_harms_no_other(field):
     """Of one entry a field can't be read: the others are followed, and what can be read of it."""
@@ -744,8 +807,14 @@
         await it.noted("list")
         for number, junk in enumerate(JUNK):
             state = ("draining", "up")[number % 2]
-            it.discovery.tell({**entry("s0", it.appliances[0]), field: junk}, entry("s1", it.appliances[1], status=state))
-            await until(lambda: it.daemon.seat.roster.appliances["s1"].state == (ours.DRAINING, ours.READY)[number % 2])
+            it.discovery.tell(
+                {**entry("s0", it.appliances[0]), field: junk}, entry("s1", it.appliances[1], status=state)
+            )
+            await until(
+                lambda: (
+                    it.daemon.seat.roster.appliances["s1"].state == (ours.DRAINING, ours.READY)[number % 2]
+                )
+            )
         client = Raw(it.address)
         client.write(ask("a"))
         if JUNK[-1] is not None and len(JUNK) % 2 == 0:
@@ -767,8 +836,12 @@
         await until(lambda: len(it.desk.listeners) == 2 and len(it.discovery.watches) >= 2)
         it.discovery.tell(entry("s0", it.appliances[0], status="draining"))
         it.desk.tell("news", build=2, stage=0, phase="testing", cap=0.2, age_ms=1)
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING and
-                    it.daemon.seat.engine.agent.stage.build == 2)
+        await until(
+            lambda: (
+                it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING
+                and it.daemon.seat.engine.agent.stage.build == 2
+            )
+        )
         old, new = it.discovery.watches[0], it.discovery.watches[-1]
         await until(lambda: old.transport.is_closing() or not it.daemon.discovery._watch.done())
         assert not new.transport.is_closing() and not any(event == "discovery_lost" for event, _ in it.notes)
@@ -781,13 +854,25 @@
 async def test_news_with_junk_in_a_field_ends_no_listening(field, junk):
     async with ground(Appliance()) as it:
         await until(lambda: it.desk.listeners)
-        it.desk.tell("news", **{"build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 1, field: junk})
+        it.desk.tell(
+            "news", **{"build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 1, field: junk}
+        )
         it.desk.tell("report", **{"class": junk, "server": junk, "age_ms": junk})
-        it.desk.tell("counts", **{"class": "view", "build": junk, "count": junk, "failed": 1, "mean_ms": junk})
+        it.desk.tell(
+            "counts", **{"class": "view", "build": junk, "count": junk, "failed": 1, "mean_ms": junk}
+        )
         before = len(it.desk.listeners)
         await until(lambda: len(it.desk.listeners) > before)
-        it.desk.listeners[-1].write(json.dumps({"jsonrpc": "2.0", "method": "news", "params": {
-            "build": 3, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 1}}).encode() + b"\n")
+        it.desk.listeners[-1].write(
+            json.dumps(
+                {
+                    "jsonrpc": "2.0",
+                    "method": "news",
+                    "params": {"build": 3, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 1},
+                }
+            ).encode()
+            + b"\n"
+        )
         await until(lambda: it.daemon.seat.engine.agent.stage.build == 3)
 
 
@@ -797,7 +882,9 @@
     async with ground(Appliance()) as it:
         told, staged = [], it.daemon.seat.staged
         it.daemon.seat.staged = lambda stage: (told.append(stage.answer), staged(stage))
-        it.desk.vote = lambda call: json.dumps({"jsonrpc": "2.0", "id": call["id"], "error": error}).encode() + b"\n"
+        it.desk.vote = lambda call: (
+            json.dumps({"jsonrpc": "2.0", "id": call["id"], "error": error}).encode() + b"\n"
+        )
         it.daemon.vote(2, 0, "on")
         assert (await it.noted("vote"))["answer"] == "timeout"
         await until(lambda: "timeout" in told)
@@ -820,8 +907,16 @@
         else:
             it.daemon.terminate()
             await it.daemon.ended.wait()
-        it.desk.writers[-1].write(json.dumps({"jsonrpc": "2.0", "id": calls[0]["id"], "result": {
-            "build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 3}}).encode() + b"\n")
+        it.desk.writers[-1].write(
+            json.dumps(
+                {
+                    "jsonrpc": "2.0",
+                    "id": calls[0]["id"],
+                    "result": {"build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 3},
+                }
+            ).encode()
+            + b"\n"
+        )
         assert (await it.noted("vote"))["answer"] == "ok" and told.count("ok") == 1
 
 
@@ -848,12 +943,31 @@
     with socket.create_server(("127.0.0.1", 0)) as free, socket.create_server(("127.0.0.1", 0)) as nobody:
         listen, away = ("127.0.0.1:%d" % one.getsockname()[1] for one in (free, nobody))
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({
-        "name": "n0", "listen": listen, "discovery": away, "seed": "ff", "limits": {"sockets": 256},
-        "pipeline": {"address": away, "news": {}}, "settings": SETTINGS, "known": {}, **more}))
+    file.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": listen,
+                "discovery": away,
+                "seed": "ff",
+                "limits": {"sockets": 256},
+                "pipeline": {"address": away, "news": {}},
+                "settings": SETTINGS,
+                "known": {},
+                **more,
+            }
+        )
+    )
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-s", "-B", "-m", "cartweir.node", cwd=config.__file__.rpartition("/cartweir/")[0],
-        env={"EDGE_CONFIG": str(file)}, stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-s",
+        "-B",
+        "-m",
+        "cartweir.node",
+        cwd=config.__file__.rpartition("/cartweir/")[0],
+        env={"EDGE_CONFIG": str(file)},
+        stderr=asyncio.subprocess.PIPE,
+    )
     return process, listen, file
 
 
@@ -892,7 +1006,7 @@
     process.send_signal(signal.SIGTERM)
     await lines_until(process, "draining")
     text = file.read_text()
-    file.write_text(text[:len(text) // 2])
+    file.write_text(text[: len(text) // 2])
     process.send_signal(signal.SIGHUP)
     await lines_until(process, "config_bad")
     file.write_text(text)
@@ -911,11 +1025,13 @@
     """Discovery is away, and known to be at once: by the list that the configuration holds, the first request behind the
     first 200 is served."""
     appliance = await Appliance().start()
-    process, listen, _ = await program(tmp_path, known={"index": 1, "snapshot": True, "endpoints": [entry("s0", appliance)]})
+    process, listen, _ = await program(
+        tmp_path, known={"index": 1, "snapshot": True, "endpoints": [entry("s0", appliance)]}
+    )
     await lines_until(process, "started")
     client = Raw(listen)
     ready = 503
-    while ready == 503:                                     # until the connection has been refused
+    while ready == 503:  # until the connection has been refused
         client.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         ready = (await client.answer())[0]
     assert ready == 200
@@ -931,18 +1047,26 @@
 async def test_floods_leave_memory_descriptors_and_usual_clients_as_they_are(tmp_path):
     """Connections, half bodies, garbage, endless heads and one id by hundreds, and again right after they were turned away."""
     appliance = await Appliance().start()
-    process, listen, _ = await program(tmp_path, known={"index": 1, "snapshot": True, "endpoints": [entry("s0", appliance)]})
+    process, listen, _ = await program(
+        tmp_path, known={"index": 1, "snapshot": True, "endpoints": [entry("s0", appliance)]}
+    )
     await lines_until(process, "started")
 
     def of(name):
         status = open(f"/proc/{process.pid}/status").read()
         return int(next(line for line in status.splitlines() if line.startswith(name)).split()[1])
+
     usual = Raw(listen)
     usual.write(ask("u"))
     assert (await usual.answer())[0] == 200
     before, most = of("VmRSS"), 0
-    flood = [ask("same"), ask("half", "order", Content_Length="60000") + bytes(50_000), b"\x16\x03\x01" + bytes(500),
-             b"GET /view HTTP/1.1\r\nA: " + b"b" * 15_000, b""]
+    flood = [
+        ask("same"),
+        ask("half", "order", Content_Length="60000") + bytes(50_000),
+        b"\x16\x03\x01" + bytes(500),
+        b"GET /view HTTP/1.1\r\nA: " + b"b" * 15_000,
+        b"",
+    ]
     for turn in range(6):
         crowd = []
         for number in range(100):
@@ -951,7 +1075,7 @@
             try:
                 one.socket.send(flood[number % len(flood)])
             except OSError:
-                pass                                    # it was turned away already
+                pass  # it was turned away already
             crowd.append(one)
             if number % 10 == 0:
                 usual.write(ask(f"u{turn}-{number}"))
--- a/tests/test_jsonstream.py
+++ b/tests/test_jsonstream.py
@@ -1,18 +1,30 @@
 """Objects out of a stream, without sockets: however they are laid out and cut up, the same ones; what breaks off is told."""
+
 from __future__ import annotations
 
 import json
 
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from cartweir.node.jsonstream import JsonStream
 
-TOLD = [{"index": 41, "snapshot": True, "endpoints": [{"name": "s-}{", "zone": "a\"}\\", "n": [1, {}, []]}, {"name": "é"}]},
-        {"index": 42, "snapshot": False, "endpoints": []}, {}]
-FORMS = {"a line each": lambda told: json.dumps(told), "indented": lambda told: json.dumps(told, indent=2),
-         "tabs": lambda told: json.dumps(told, indent="\t", ensure_ascii=False),
-         "carriage returns": lambda told: json.dumps(told, indent=1).replace("\n", "\r\n")}
+TOLD = [
+    {
+        "index": 41,
+        "snapshot": True,
+        "endpoints": [{"name": "s-}{", "zone": 'a"}\\', "n": [1, {}, []]}, {"name": "é"}],
+    },
+    {"index": 42, "snapshot": False, "endpoints": []},
+    {},
+]
+FORMS = {
+    "a line each": lambda told: json.dumps(told),
+    "indented": lambda told: json.dumps(told, indent=2),
+    "tabs": lambda told: json.dumps(told, indent="\t", ensure_ascii=False),
+    "carriage returns": lambda told: json.dumps(told, indent=1).replace("\n", "\r\n"),
+}
 
 
 def text_of(form: str) -> bytes:
@@ -55,7 +67,9 @@
     assert JsonStream(1000).feed(b'{"index": 1} {"index": 2}\n') == [{"index": 1}, {"index": 2}]
 
 
-@pytest.mark.parametrize("data", [b"noise\n", b'{"a": }\n', b"}\n", b'{"a": 1} x\n', b"\xff\xfe{}\n", b'{"a": "' + b"x" * 2000])
+@pytest.mark.parametrize(
+    "data", [b"noise\n", b'{"a": }\n', b"}\n", b'{"a": 1} x\n', b"\xff\xfe{}\n", b'{"a": "' + b"x" * 2000]
+)
 def test_what_is_no_object_is_told_with_the_next_sign_of_life(data):
     with pytest.raises(ValueError):
         JsonStream(1000).feed(data + b"\n")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,5 @@
 """The node on loopback sockets against a scripted platform: what passed on the sockets is what is judged."""
+
 from __future__ import annotations
 
 import asyncio
@@ -9,13 +10,13 @@
 import sys
 
 import pytest
+from ground import SETTINGS, Appliance, Desk, Discovery, Held, ask, entry, good, ground
+from ground import Client as GroundClient
+from test_calls import sockets
 
+from cartweir.hosting import tcp
 from cartweir.node import config, desk, discovery, front, links, names
 from cartweir.node.peers import Peers
-from cartweir.hosting import tcp
-from ground import Client as GroundClient
-from ground import SETTINGS, Appliance, Desk, Discovery, Held, ask, entry, good, ground
-from test_calls import sockets
 
 
 @sockets
@@ -23,7 +24,11 @@
     async with ground(Appliance()) as it:
         client = await it.client()
         await it.noted("list")
-        assert await client.say(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n") == (200, {"content-length": "0"}, b"")
+        assert await client.say(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n") == (
+            200,
+            {"content-length": "0"},
+            b"",
+        )
         for number in range(3):
             status, _, body = await client.say(ask(f"a{number}", "order"))
             assert (status, body) == (200, b"made for a%d" % number)
@@ -31,22 +36,33 @@
         assert line == "POST /order/x?y=1 HTTP/1.1" and body == b"body"
         assert headers["x-request-id"] == "a0" and headers["idempotency-key"] == "key-of-a0"
         assert 0 < names.limit_of(headers["x-timeout"].encode()) < 2_000_000
-        assert it.appliances[0].accepted == 1       # one connection after another request
-
-
-@pytest.mark.parametrize("data,status", [
-    (b"\x16\x03\x01noise", 400), (b"GET /view HTTP/1.1\r\n" + b"A: " + b"b" * 20000, 431),
-    (b"POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100_000, 413),
-    (ask("a", "nothing"), 404), (ask("a", X_Timeout="soon"), 400), (ask("a", X_Timeout="-5m"), 400),
-    (ask("a", X_Timeout="0m"), 400), (ask("a", X_Request_ID=None), 400), (ask("a", "order", Idempotency_Key=None), 400),
-    (ask("a", X_Priority_Class="order"), 400), (ask("a").replace(b"GET", b"POST"), 405),
-    (ask("a") + ask("b"), 400)], ids=lambda value: str(value)[:40])
+        assert it.appliances[0].accepted == 1  # one connection after another request
+
+
+@pytest.mark.parametrize(
+    "data,status",
+    [
+        (b"\x16\x03\x01noise", 400),
+        (b"GET /view HTTP/1.1\r\n" + b"A: " + b"b" * 20000, 431),
+        (b"POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100_000, 413),
+        (ask("a", "nothing"), 404),
+        (ask("a", X_Timeout="soon"), 400),
+        (ask("a", X_Timeout="-5m"), 400),
+        (ask("a", X_Timeout="0m"), 400),
+        (ask("a", X_Request_ID=None), 400),
+        (ask("a", "order", Idempotency_Key=None), 400),
+        (ask("a", X_Priority_Class="order"), 400),
+        (ask("a").replace(b"GET", b"POST"), 405),
+        (ask("a") + ask("b"), 400),
+    ],
+    ids=lambda value: str(value)[:40],
+)
 @sockets
 async def test_what_is_no_request_gets_an_error_and_the_end(data, status):
     async with ground(Appliance()) as it:
         client = await it.client()
         assert (await client.say(data))[0] == status
-        client.writer.write(b"x" * 1000)            # still sending: the answer was there to be read all the same
+        client.writer.write(b"x" * 1000)  # still sending: the answer was there to be read all the same
         await client.ended()
         while it.daemon.front.clients:
             await asyncio.sleep(0.005)
@@ -83,10 +99,18 @@
         assert not it.daemon.seat.calls and len(held.requests) == 1
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"noise that is no head\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx",
-    b"HTTP/1.1 200 OK\r\n\r\nwithout a length", b"HTTP/1.1 200 OK\r\nA: " + b"b" * 20000, None,
-    b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"], ids=lambda value: str(value)[:30])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"noise that is no head\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx",
+        b"HTTP/1.1 200 OK\r\n\r\nwithout a length",
+        b"HTTP/1.1 200 OK\r\nA: " + b"b" * 20000,
+        None,
+        b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
+    ],
+    ids=lambda value: str(value)[:30],
+)
 @sockets
 async def test_a_spoilt_answer_may_have_run(spoilt):
     """Idempotent and fingerprinted ones go again, a side-effecting one never does; its client learns that it failed."""
@@ -107,13 +131,16 @@
         assert (await client.say(ask("o", "order")))[::2] == (200, b"fine")
         left[0] = 1
         assert (await client.say(ask("i", "issue")))[0] == 500
-        seen = [headers["x-request-id"] for appliance in it.appliances for _, headers, _ in appliance.requests]
+        seen = [
+            headers["x-request-id"] for appliance in it.appliances for _, headers, _ in appliance.requests
+        ]
         assert broken == ["v", "o", "i"] and sorted(seen) == ["i", "o", "o", "v", "v"]
 
 
 @sockets
 async def test_what_follows_an_answer_is_never_anothers():
     """A second copy behind an answer: the connection is not used again, and each client gets what was made for it."""
+
     def script(line, headers, body):
         return 2 * good(b"made for " + headers["x-request-id"].encode())
 
@@ -130,7 +157,9 @@
     async with ground(Appliance(lambda *request: good(b"fine"))) as it:
         client = await it.client()
         assert (await client.say(ask("a")))[0] == 200
-        for writer in it.appliances[0].writers:         # its end is with the node's kernel at once, the loop has not seen it
+        for writer in it.appliances[
+            0
+        ].writers:  # its end is with the node's kernel at once, the loop has not seen it
             writer.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         assert (await client.say(ask("i", "issue")))[::2] == (200, b"fine")
         assert it.appliances[0].accepted == 2
@@ -158,7 +187,7 @@
         held.go.set()
         for client in clients:
             assert (await client.hear())[0] == 200
-        held.go.clear()                             # from now on it is silent
+        held.go.clear()  # from now on it is silent
         status, headers, _ = await clients[0].say(ask("b", X_Timeout="200m"))
         assert status == 429 and 0 < float(headers["retry-after"]) <= 0.5
         held.go.set()
@@ -175,14 +204,18 @@
         one.connect_ex(full.getsockname())
     async with ground(Appliance()) as it:
         await it.noted("list")
-        it.discovery.tell({**entry("full", it.appliances[0]), "address": "127.0.0.1:%d" % full.getsockname()[1]})
+        it.discovery.tell(
+            {**entry("full", it.appliances[0]), "address": "127.0.0.1:%d" % full.getsockname()[1]}
+        )
         while "full" not in it.daemon.seat.roster.appliances:
             await asyncio.sleep(0.005)
         client, number = await it.client(), 0
         while not any(event == "unconnected" for event, _ in it.notes):
             assert (await client.say(ask(f"i{number}", "issue")))[0] == 200
             number += 1
-        assert [headers["x-request-id"] for _, headers, _ in it.appliances[0].requests] == [f"i{n}" for n in range(number)]
+        assert [headers["x-request-id"] for _, headers, _ in it.appliances[0].requests] == [
+            f"i{n}" for n in range(number)
+        ]
     for one in (full, *crowd):
         one.close()
 
@@ -199,13 +232,15 @@
             narrow.append(self)
 
     monkeypatch.setattr(links, "Socket", Narrow)
-    stuck = socket.socket()                         # takes connections, reads nothing
+    stuck = socket.socket()  # takes connections, reads nothing
     stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stuck.bind(("127.0.0.1", 0))
     stuck.listen(8)
     async with ground(Appliance()) as it:
         await it.noted("list")
-        it.discovery.tell({**entry("stuck", it.appliances[0]), "address": "127.0.0.1:%d" % stuck.getsockname()[1]})
+        it.discovery.tell(
+            {**entry("stuck", it.appliances[0]), "address": "127.0.0.1:%d" % stuck.getsockname()[1]}
+        )
         while "stuck" not in it.daemon.seat.roster.appliances:
             await asyncio.sleep(0.005)
         client, broken = await it.client(), False
@@ -213,10 +248,13 @@
             large = ask(f"i{number}", "issue", Content_Length="60000")[:-4] + bytes(60000)
             answer = asyncio.ensure_future(client.say(large))
             while not broken and not answer.done():
-                at_stuck = [one for one in narrow if one.unsent and not one.closed
-                            and one.socket.getpeername() == stuck.getsockname()]
+                at_stuck = [
+                    one
+                    for one in narrow
+                    if one.unsent and not one.closed and one.socket.getpeername() == stuck.getsockname()
+                ]
                 if at_stuck:
-                    await asyncio.sleep(0.02)       # all that its kernel takes is there, and the rest is not
+                    await asyncio.sleep(0.02)  # all that its kernel takes is there, and the rest is not
                     assert at_stuck[0].unsent
                     broken = True
                     stuck.close()
@@ -263,7 +301,7 @@
         await held.got(1)
         held.go.set()
         statuses = []
-        for client in crowd:                        # each goes once it has its answer, and another comes in
+        for client in crowd:  # each goes once it has its answer, and another comes in
             statuses.append((await client.hear())[0])
             client.writer.close()
         assert set(statuses) <= {200, 429} and len(statuses) == 60 and it.daemon.front.evicted == 0
@@ -314,13 +352,37 @@
         assert (await (await it.client()).say(ask("a")))[0] == 200
 
 
-@pytest.mark.parametrize("said,answer", [
-    (lambda call: json.dumps({"jsonrpc": "2.0", "id": call["id"], "result": {
-        "build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 3}}).encode() + b"\n", "ok"),
-    (lambda call: json.dumps({"jsonrpc": "2.0", "id": call["id"], "error": {
-        "code": -32602, "message": "throttled"}}).encode() + b"\n", "full"),
-    (lambda call: b"\xff\xfenoise\n", "timeout"), (lambda call: b'{"jsonrpc":"2.0","id":1,"res', "timeout"),
-    (lambda call: None, "timeout")], ids=["ok", "full", "noise", "part", "reset"])
+@pytest.mark.parametrize(
+    "said,answer",
+    [
+        (
+            lambda call: (
+                json.dumps(
+                    {
+                        "jsonrpc": "2.0",
+                        "id": call["id"],
+                        "result": {"build": 2, "stage": 0, "phase": "testing", "cap": 0.2, "age_ms": 3},
+                    }
+                ).encode()
+                + b"\n"
+            ),
+            "ok",
+        ),
+        (
+            lambda call: (
+                json.dumps(
+                    {"jsonrpc": "2.0", "id": call["id"], "error": {"code": -32602, "message": "throttled"}}
+                ).encode()
+                + b"\n"
+            ),
+            "full",
+        ),
+        (lambda call: b"\xff\xfenoise\n", "timeout"),
+        (lambda call: b'{"jsonrpc":"2.0","id":1,"res', "timeout"),
+        (lambda call: None, "timeout"),
+    ],
+    ids=["ok", "full", "noise", "part", "reset"],
+)
 @sockets
 async def test_what_becomes_of_a_vote(said, answer):
     async with ground(Appliance()) as it:
@@ -357,11 +419,15 @@
         late = await it.client()
         late.writer.write(ask("b"))
         await held.got(2)
-        assert await idle.ended() == b""            # after the last have come
+        assert await idle.ended() == b""  # after the last have come
         held.go.set()
         for client in (first, late):
             status, headers, body = await client.hear()
-            assert (status, headers["connection"], body) == (200, "close", b"late") and await client.ended() == b""
+            assert (status, headers["connection"], body) == (
+                200,
+                "close",
+                b"late",
+            ) and await client.ended() == b""
             client.writer.close()
         await it.daemon.ended.wait()
 
@@ -386,11 +452,13 @@
         one.close()
     notes = []
     seats = [Heard(me) for me in range(3)]
-    peers = [Peers(seat, address, addresses, None, lambda event, **facts: notes.append(event))
-             for seat, address in zip(seats, addresses)]
+    peers = [
+        Peers(seat, address, addresses, None, lambda event, **facts: notes.append(event))
+        for seat, address in zip(seats, addresses)
+    ]
     peers[0].message(1, [5, 0, 7])
     peers[1].message(None, [0, 2])
-    peers[2].message(0, list(range(200)))           # over 256 bytes: it would void the run
+    peers[2].message(0, list(range(200)))  # over 256 bytes: it would void the run
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(b"9 9 9", ("127.0.0.1", int(addresses[0].split(":")[1])))
     peers[2].message(0, [3])
@@ -422,32 +490,53 @@
     process that starts no other, keeps no file, and has no sockets but TCP and UDP over IPv4."""
     (tmp_path / "sitecustomize.py").write_text(WATCH.format(file=str(tmp_path / "seen")))
     held = await Held().start()
-    lists, offices = [await Discovery([entry("s0", held)]).start() for _ in range(2)], [await Desk().start() for _ in range(2)]
+    lists, offices = (
+        [await Discovery([entry("s0", held)]).start() for _ in range(2)],
+        [await Desk().start() for _ in range(2)],
+    )
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = "127.0.0.1:%d" % free.getsockname()[1]
     file = tmp_path / "config.json"
 
     def write(number):
-        file.write_text(json.dumps({
-            "name": "n0", "listen": listen, "discovery": lists[number].address, "seed": "ff", "limits": {"sockets": 256},
-            "pipeline": {"address": offices[number].address, "news": {}}, "settings": SETTINGS,
-            "known": {"index": 1, "snapshot": True, "endpoints": [entry("s0", held)]}}))
+        file.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": listen,
+                    "discovery": lists[number].address,
+                    "seed": "ff",
+                    "limits": {"sockets": 256},
+                    "pipeline": {"address": offices[number].address, "news": {}},
+                    "settings": SETTINGS,
+                    "known": {"index": 1, "snapshot": True, "endpoints": [entry("s0", held)]},
+                }
+            )
+        )
 
     write(0)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-s", "-B", "-m", "cartweir.node", cwd=config.__file__.rpartition("/cartweir/")[0],
-        env={"EDGE_CONFIG": str(file), "PYTHONPATH": str(tmp_path)}, stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-s",
+        "-B",
+        "-m",
+        "cartweir.node",
+        cwd=config.__file__.rpartition("/cartweir/")[0],
+        env={"EDGE_CONFIG": str(file), "PYTHONPATH": str(tmp_path)},
+        stderr=asyncio.subprocess.PIPE,
+    )
     lines = []
 
     async def until(event):
         while not (lines and lines[-1].split()[1] == event):
             lines.append((await process.stderr.readline()).decode())
             assert lines[-1], lines
+
     try:
         await until("started")
         client = GroundClient(*await asyncio.open_connection(*listen.split(":")))
         while (ready := (await client.say(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0]) == 503:
-            await asyncio.sleep(0.005)                      # until its list has come
+            await asyncio.sleep(0.005)  # until its list has come
         assert ready == 200
         client.writer.write(ask("a"))
         await held.got(1)
@@ -477,16 +566,33 @@
             server.stop()
 
 
-GOOD = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "ff",
-        "pipeline": {"address": "127.0.0.1:2"}, "settings": {"classes": [{"name": "view", "hardLimit": 3000}]}}
-
-
-@pytest.mark.parametrize("change,reason", [
-    ({"listen": "here"}, "listen: 'here': host:port is due"), ({"seed": "no"}, "seed: 'no'; a hexadecimal number is due"),
-    ({"seed": None}, "seed: 'None'"), ({"settings": {}}, "settings.classes is empty"),
-    ({"settings": {"classes": [{}]}}, "settings.classes[0].name: 'None'; a name that no other has is due"),
-    ({"settings": {"classes": [{"name": "view"}]}}, "settings.classes: 'view' has no hardLimit"), ({"pipeline": {}}, "address is missing; host:port is due"),
-    ({"peers": ["x"]}, "peers[0]: 'x'")], ids=lambda value: str(value)[:30])
+GOOD = {
+    "name": "n0",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "seed": "ff",
+    "pipeline": {"address": "127.0.0.1:2"},
+    "settings": {"classes": [{"name": "view", "hardLimit": 3000}]},
+}
+
+
+@pytest.mark.parametrize(
+    "change,reason",
+    [
+        ({"listen": "here"}, "listen: 'here': host:port is due"),
+        ({"seed": "no"}, "seed: 'no'; a hexadecimal number is due"),
+        ({"seed": None}, "seed: 'None'"),
+        ({"settings": {}}, "settings.classes is empty"),
+        (
+            {"settings": {"classes": [{}]}},
+            "settings.classes[0].name: 'None'; a name that no other has is due",
+        ),
+        ({"settings": {"classes": [{"name": "view"}]}}, "settings.classes: 'view' has no hardLimit"),
+        ({"pipeline": {}}, "address is missing; host:port is due"),
+        ({"peers": ["x"]}, "peers[0]: 'x'"),
+    ],
+    ids=lambda value: str(value)[:30],
+)
 def test_a_bad_configuration_says_where_and_what(tmp_path, change, reason):
     file = tmp_path / "config.json"
     file.write_text(json.dumps({**GOOD, **change}))
@@ -498,10 +604,12 @@
 
 
 def test_the_program_needs_no_other_agents_libraries_and_ends_with_one_line():
-    code = ("import sys, cartweir.node.daemon; "
-            "print({m.split('.')[0] for m in sys.modules} & {'h2', 'google', 'pydantic', 'structlog', 'typer', 'grpc', 'msgpack', "
-            "'xxhash'}, [m for m in sys.modules if m.startswith(('cartweir.fleet', 'cartweir.controller', 'cartweir.model', "
-            "'cartweir.faults', 'cartweir.cli', 'cartweir.cores', 'cartweir.standin'))])")
+    code = (
+        "import sys, cartweir.node.daemon; "
+        "print({m.split('.')[0] for m in sys.modules} & {'h2', 'google', 'pydantic', 'structlog', 'typer', 'grpc', 'msgpack', "
+        "'xxhash'}, [m for m in sys.modules if m.startswith(('cartweir.fleet', 'cartweir.controller', 'cartweir.model', "
+        "'cartweir.faults', 'cartweir.cli', 'cartweir.cores', 'cartweir.standin'))])"
+    )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "set() []\n"
     ended = subprocess.run([sys.executable, "-m", "cartweir.node"], capture_output=True, text=True, env={})
     assert ended.returncode == 1 and ended.stderr.count("\n") == 1 and "EDGE_CONFIG" in ended.stderr
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -1,4 +1,5 @@
 """How long idle connections are trusted, without sockets."""
+
 import random
 
 from cartweir.node.trust import Trust
--- a/tests/test_wire_grpc.py
+++ b/tests/test_wire_grpc.py
@@ -1,6 +1,8 @@
 """gRPC's encodings and HTTP/2 sessions, without sockets."""
+
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from cartweir.wire import grpc
 from cartweir.wire.session import LOST, REFUSED, RESET, UNSEEN, Limits, Session
@@ -28,7 +30,9 @@
 @given(st.binary())
 def test_binary_metadata_with_and_without_padding(value):
     wire = grpc.encode_binary(value)
-    assert b"=" not in wire and grpc.decode_binary(wire) == value == grpc.decode_binary(wire + b"=" * (-len(wire) % 4))
+    assert b"=" not in wire and grpc.decode_binary(wire) == value == grpc.decode_binary(
+        wire + b"=" * (-len(wire) % 4)
+    )
 
 
 @given(st.lists(st.binary(max_size=40), max_size=5), st.lists(st.integers(1, 7), min_size=1))
@@ -36,7 +40,7 @@
     body, walk, at, turn = b"".join(map(grpc.frame, messages)), grpc.BodyWalk(40), 0, 0
     while at < len(body):
         size = cuts[turn % len(cuts)]
-        walk.feed(body[at:at + size])
+        walk.feed(body[at : at + size])
         at, turn = at + size, turn + 1
     assert walk.whole and walk.messages == len(messages) and grpc.messages(body) == messages
 
@@ -105,7 +109,11 @@
     back.send_trailers(grpc.trailers(0))
     exchange(client, server)
     heard = client.take()
-    assert heard[0] == ("headers", 1) and heard[-1] == ("end", 1, 1) and sum(h[2] for h in heard if h[0] == "data") == 40_000
+    assert (
+        heard[0] == ("headers", 1)
+        and heard[-1] == ("end", 1, 1)
+        and sum(h[2] for h in heard if h[0] == "data") == 40_000
+    )
     assert not client.session.streams and not server.session.streams
 
 
@@ -133,7 +141,7 @@
 
 def test_streams_over_the_grant_are_refused_and_the_connection_lives():
     client, server = Side(True), Side(False, Limits(streams=1))
-    for _ in range(2):                  # before the server's settings have come
+    for _ in range(2):  # before the server's settings have come
         client.session.open(HEADERS, client)
     exchange(client, server)
     assert server.session.broken is None and server.take() == [("stream", 1)]
@@ -145,7 +153,7 @@
     client.session.open(HEADERS, client, end=True)
     exchange(client, server)
     server.session.say_closing()
-    client.session.open(HEADERS, client, end=True)      # on its way as the GOAWAY is
+    client.session.open(HEADERS, client, end=True)  # on its way as the GOAWAY is
     late = client.session.pump(1 << 20)
     client.session.receive(server.session.pump(1 << 20))
     assert client.take() == [("gone", 3, UNSEEN), ("closing", 0)]
