--- a/cartweir/controller/daemon.py
+++ b/cartweir/controller/daemon.py
@@ -1,4 +1,5 @@
 """A controller: one member of the fleet's log, what its duties make it do, and whom it serves: members, agents, people."""
+
 from __future__ import annotations
 
 import asyncio
@@ -29,9 +30,9 @@
 from .settings import ControllerDocument
 from .store import Store
 
-VOTE_TIME = 2_000_000       # microseconds in which a ballot is to be decided; its agent tells it again
-AGAIN = 250_000             # between two tellings of an effect that stands
-WORK = 50_000               # between two looks at what duties are due
+VOTE_TIME = 2_000_000  # microseconds in which a ballot is to be decided; its agent tells it again
+AGAIN = 250_000  # between two tellings of an effect that stands
+WORK = 50_000  # between two looks at what duties are due
 
 
 class Controller(Service):
@@ -46,13 +47,19 @@
         self._news: dict[Request, int] = {}
         self._told: Any = None
         self._asked: set[str] = set()
-        self._carrying: dict[str, tuple] = {}       # by duty: the token whose effect is on its way
+        self._carrying: dict[str, tuple] = {}  # by duty: the token whose effect is on its way
         self._channels: dict[str, Channel] = {}
         self._joining: dict[str, tuple[str, str]] = {}
-        self.handlers.update({
-            TELL: self._tell, ACT: self._act, "/cartweir.v1.Conveyor/News": self._listen,
-            "/cartweir.v1.Conveyor/Vote": self._vote, "/cartweir.v1.Conveyor/Report": self._report,
-            "/cartweir.v1.Controller/Ask": self._ask})
+        self.handlers.update(
+            {
+                TELL: self._tell,
+                ACT: self._act,
+                "/cartweir.v1.Conveyor/News": self._listen,
+                "/cartweir.v1.Conveyor/Vote": self._vote,
+                "/cartweir.v1.Conveyor/Report": self._report,
+                "/cartweir.v1.Controller/Ask": self._ask,
+            }
+        )
 
     def note(self, event: str, level: str = "info", **facts: Any) -> None:
         getattr(self.log, level)(event, **facts)
@@ -63,8 +70,14 @@
         spawn(self.host.run())
         spawn(self._work())
         member = self.host.member
-        self.note("started", listen=address, name=self.host.name, term=member.term, index=member.last_index,
-                  members=sorted(member.members))
+        self.note(
+            "started",
+            listen=address,
+            name=self.host.name,
+            term=member.term,
+            index=member.last_index,
+            members=sorted(member.members),
+        )
         return address
 
     def _fault(self, error: Exception) -> None:
@@ -98,8 +111,15 @@
     def _stage(self) -> pb.Stage:
         host, duty = self.host, self.host.fleet.duties[RELEASE]
         rollout, now = host.fleet.rollout, host.duty_manager.log_time(monotonic())
-        return pb.Stage(build=rollout.build, number=rollout.stage, phase=rollout.phase, cap=rollout.cap, age=max(0, now - rollout.since),
-                        epoch=duty.epoch, index=duty.index)
+        return pb.Stage(
+            build=rollout.build,
+            number=rollout.stage,
+            phase=rollout.phase,
+            cap=rollout.cap,
+            age=max(0, now - rollout.since),
+            epoch=duty.epoch,
+            index=duty.index,
+        )
 
     async def _listen(self, request: Request) -> None:
         hello = pb.Hello.FromString(request.message)
@@ -122,8 +142,15 @@
         if duty.token != self._told and duty.epoch:
             if self._told is None or duty.index != self._told.index:
                 rollout = self.host.fleet.rollout
-                self.note("stage", build=rollout.build, stage=rollout.stage, phase=pb.Phase.Name(rollout.phase), epoch=duty.epoch,
-                          index=duty.index, owner=duty.owner)
+                self.note(
+                    "stage",
+                    build=rollout.build,
+                    stage=rollout.stage,
+                    phase=pb.Phase.Name(rollout.phase),
+                    epoch=duty.epoch,
+                    index=duty.index,
+                    owner=duty.owner,
+                )
             self._told = duty.token
             self._say_stage()
 
@@ -135,8 +162,14 @@
 
     async def _vote(self, request: Request) -> bytes:
         ballot = pb.Ballot.FromString(request.message)
-        what = {"what": "vote", "agent": ballot.agent, "serial": ballot.serial, "build": ballot.build,
-                "stage": ballot.stage, "choice": ballot.choice}
+        what = {
+            "what": "vote",
+            "agent": ballot.agent,
+            "serial": ballot.serial,
+            "build": ballot.build,
+            "stage": ballot.stage,
+            "choice": ballot.choice,
+        }
         answered, answer = await self.command(RELEASE, what)
         if not answered:
             raise CallError(Status.UNAVAILABLE, "nobody is known to have counted it: it may be told again")
@@ -144,8 +177,14 @@
 
     async def command(self, duty: str, what: dict[str, Any]) -> tuple[bool, Any]:
         host = self.host
-        return await host.command(lambda: {**host.duty_manager.command(duty, what), "at": host.duty_manager.log_time(monotonic()),
-                                           "wall": time.time_ns() // 1000}, VOTE_TIME)
+        return await host.command(
+            lambda: {
+                **host.duty_manager.command(duty, what),
+                "at": host.duty_manager.log_time(monotonic()),
+                "wall": time.time_ns() // 1000,
+            },
+            VOTE_TIME,
+        )
 
     async def _report(self, request: Request) -> bytes:
         """Of a wrong answer: to its agent, if it listens here."""
@@ -162,7 +201,7 @@
             await asyncio.sleep(WORK / 1e6)
             now = monotonic()
             if not host.led:
-                for request in self._news:      # they may learn more elsewhere
+                for request in self._news:  # they may learn more elsewhere
                     if not request.gone:
                         request.finish(Status.UNAVAILABLE, "no leader is heard here")
                 self._news = {}
@@ -186,12 +225,18 @@
 
         async def run() -> None:
             try:
-                answered, answer = await self.host.command(lambda: command, VOTE_TIME // 2) if command["do"] != "grant" else (
-                    await self._grant(command))
+                answered, answer = (
+                    await self.host.command(lambda: command, VOTE_TIME // 2)
+                    if command["do"] != "grant"
+                    else (await self._grant(command))
+                )
                 if answered and command["do"] == "grant" and answer != LATE:
-                    self.note("granted", duty=command["duty"], to=command["to"], epoch=answer, why=command["why"])
+                    self.note(
+                        "granted", duty=command["duty"], to=command["to"], epoch=answer, why=command["why"]
+                    )
             finally:
                 self._asked.discard(key)
+
         spawn(run())
 
     async def _grant(self, command: dict[str, Any]) -> tuple[bool, Any]:
@@ -208,22 +253,28 @@
     def _carry_out(self, effect: Effect) -> None:
         if effect.duty in self._carrying:
             return
-        address = self.document.waves.machines if isinstance(effect.body, MachinesWanted) else (
-            self.document.steps[effect.duty.removeprefix(STEPS_PREFIX)].target)
+        address = (
+            self.document.waves.machines
+            if isinstance(effect.body, MachinesWanted)
+            else (self.document.steps[effect.duty.removeprefix(STEPS_PREFIX)].target)
+        )
         if address is None:
             return
         self._carrying[effect.duty] = effect.token
 
         async def run() -> None:
             try:
-                await (self._want if isinstance(effect.body, MachinesWanted) else self._step)(effect, effect.body, address)
+                await (self._want if isinstance(effect.body, MachinesWanted) else self._step)(
+                    effect, effect.body, address
+                )
             except CallError as error:
                 self.host.duty_manager.on_effect_result(effect, False, monotonic())
                 self.note("unreached", level="warning", duty=effect.duty, why=str(error))
             except DecodeError:
                 self.host.duty_manager.on_effect_result(effect, False, monotonic())
-            finally:                        # whatever became of it, it is tried again
+            finally:  # whatever became of it, it is tried again
                 asyncio.get_running_loop().call_later(AGAIN / 1e6, self._carrying.pop, effect.duty, None)
+
         spawn(run())
 
     def _channel(self, address: str) -> Channel:
@@ -237,27 +288,52 @@
             return (await channel.unary(path, message, VOTE_TIME // 2)).message
         except CallError as error:
             if error.status == Status.DEADLINE_EXCEEDED:
-                channel.close()             # it may be open and dead
+                channel.close()  # it may be open and dead
             raise
 
     async def _want(self, effect: Effect, body: MachinesWanted, address: str) -> None:
-        wanted = pb.Wanted(stamp=pb.Stamp(duty=effect.duty, epoch=effect.token.epoch, index=effect.token.index),
-                           machines=body.machines, build=body.build, stage=body.stage)
-        said = pb.Standing.FromString(await self._call(address, "/cartweir.v1.Machines/Want", wanted.SerializeToString()))
+        wanted = pb.Wanted(
+            stamp=pb.Stamp(duty=effect.duty, epoch=effect.token.epoch, index=effect.token.index),
+            machines=body.machines,
+            build=body.build,
+            stage=body.stage,
+        )
+        said = pb.Standing.FromString(
+            await self._call(address, "/cartweir.v1.Machines/Want", wanted.SerializeToString())
+        )
         self.host.duty_manager.on_effect_result(effect, True, monotonic())
         if not said.taken:
-            self.note("refused_as_late", level="warning", duty=effect.duty, epoch=effect.token.epoch, seen=said.seen.epoch)
+            self.note(
+                "refused_as_late",
+                level="warning",
+                duty=effect.duty,
+                epoch=effect.token.epoch,
+                seen=said.seen.epoch,
+            )
         rollout = self.host.fleet.rollout
-        if said.taken and said.running and rollout.running_since is None and rollout.phase == pb.ON_TRIAL and (
-                (rollout.build, rollout.stage) == (body.build, body.stage)):
+        if (
+            said.taken
+            and said.running
+            and rollout.running_since is None
+            and rollout.phase == pb.ON_TRIAL
+            and ((rollout.build, rollout.stage) == (body.build, body.stage))
+        ):
             await self.command(RELEASE, {"what": "running", "build": body.build, "stage": body.stage})
 
     async def _step(self, effect: Effect, body: StepToRun, address: str) -> None:
-        step = pb.Step(stamp=pb.Stamp(duty=effect.duty, epoch=effect.token.epoch, index=effect.token.index),
-                       number=body.number, name=body.name, begun=body.begun_index)
-        said = pb.Ran.FromString(await self._call(address, "/cartweir.v1.Steps/Run", step.SerializeToString()))
+        step = pb.Step(
+            stamp=pb.Stamp(duty=effect.duty, epoch=effect.token.epoch, index=effect.token.index),
+            number=body.number,
+            name=body.name,
+            begun=body.begun_index,
+        )
+        said = pb.Ran.FromString(
+            await self._call(address, "/cartweir.v1.Steps/Run", step.SerializeToString())
+        )
         self.host.duty_manager.on_effect_result(effect, True, monotonic())
-        self.note("step", duty=effect.duty, step=body.name, how=pb.Ran.How.Name(said.how), epoch=effect.token.epoch)
+        self.note(
+            "step", duty=effect.duty, step=body.name, how=pb.Ran.How.Name(said.how), epoch=effect.token.epoch
+        )
         if said.how == pb.Ran.DONE:
             await self.command(effect.duty, {"what": "done", "step": body.number})
         elif said.how == pb.Ran.FAILED:
@@ -286,14 +362,18 @@
                 what = {"what": "offer", "build": int(asked["build"]), "machines": int(asked["machines"])}
                 answered, answer = await self.command(RELEASE, what)
                 if answered and answer:
-                    raise ChangeRefusedError(f"build {asked['build']}: newer than {host.fleet.rollout.build} is due, and "
-                                  "at least one machine")
+                    raise ChangeRefusedError(
+                        f"build {asked['build']}: newer than {host.fleet.rollout.build} is due, and "
+                        "at least one machine"
+                    )
                 return {"taken": answered}
             case "retry":
                 duty = steps_duty(asked["steps"])
                 if duty not in host.fleet.duties:
                     raise ValueError(f"no {duty}: one of {', '.join(host.fleet.duties)} is due")
-                answered, answer = await self.command(duty, {"what": "begin", "step": host.fleet.duties[duty].state.current})
+                answered, answer = await self.command(
+                    duty, {"what": "begin", "step": host.fleet.duties[duty].state.current}
+                )
                 return {"taken": answered and answer == 0}
         if member.role != Role.LEADER:
             return {"leader": member.leader, "address": self._address(member.leader)}
@@ -304,7 +384,9 @@
                     raise ValueError(f"no duty {duty}: one of {', '.join(host.fleet.duties)} is due")
                 others = [n for n in host.alive if n != host.fleet.duties[duty].owner]
                 if to is not None and to not in others:
-                    raise ChangeRefusedError(f"{to}: a member that answers, other than the owner, is due: {', '.join(others) or 'none'}")
+                    raise ChangeRefusedError(
+                        f"{to}: a member that answers, other than the owner, is due: {', '.join(others) or 'none'}"
+                    )
                 if not others:
                     raise ChangeRefusedError("no other member answers")
                 host.duty_manager.requested[duty] = to or others[0]
@@ -346,7 +428,8 @@
                 try:
                     member.add_member(name, MemberInfo(mark, address, votes))
                 except ChangeRefusedError:
-                    pass                    # not yet
+                    pass  # not yet
+
             self.host.soon(do)
 
     def _address(self, name: str | None) -> str | None:
@@ -357,16 +440,48 @@
         host, member = self.host, self.host.member
         rollout, now = host.fleet.rollout, host.duty_manager.log_time(monotonic())
         return {
-            "name": host.name, "role": member.role, "leader": member.leader, "term": member.term, "decided": member.commit_index,
-            "last": member.last_index, "led": host.led, "incarnation": host.fleet.incarnation,
-            "members": {n: {"address": m.address, "votes": m.votes, "answers": n in host.alive} for n, m in member.members.items()},
-            "agents": {"listening": len(self._news), "let_in": self.admission.admitted, "told_to_come_back": self.admission.rejected},
-            "duties": {n: {"owner": d.owner, "epoch": d.epoch, "index": d.index} for n, d in host.fleet.duties.items()},
-            "release": {"build": rollout.build, "stage": rollout.stage, "phase": pb.Phase.Name(rollout.phase), "cap": rollout.cap,
-                        "votes": {"on": rollout.count_votes(Choice.ON, now), "back": rollout.count_votes(Choice.BACK, now)}},
-            "steps": {n.removeprefix(STEPS_PREFIX): {"done": [step.name for step in d.state.completed], "next": d.state.current_name,
-                                                     "how": d.state.state, "why": d.state.failure}
-                      for n, d in host.fleet.duties.items() if n != RELEASE}}
+            "name": host.name,
+            "role": member.role,
+            "leader": member.leader,
+            "term": member.term,
+            "decided": member.commit_index,
+            "last": member.last_index,
+            "led": host.led,
+            "incarnation": host.fleet.incarnation,
+            "members": {
+                n: {"address": m.address, "votes": m.votes, "answers": n in host.alive}
+                for n, m in member.members.items()
+            },
+            "agents": {
+                "listening": len(self._news),
+                "let_in": self.admission.admitted,
+                "told_to_come_back": self.admission.rejected,
+            },
+            "duties": {
+                n: {"owner": d.owner, "epoch": d.epoch, "index": d.index}
+                for n, d in host.fleet.duties.items()
+            },
+            "release": {
+                "build": rollout.build,
+                "stage": rollout.stage,
+                "phase": pb.Phase.Name(rollout.phase),
+                "cap": rollout.cap,
+                "votes": {
+                    "on": rollout.count_votes(Choice.ON, now),
+                    "back": rollout.count_votes(Choice.BACK, now),
+                },
+            },
+            "steps": {
+                n.removeprefix(STEPS_PREFIX): {
+                    "done": [step.name for step in d.state.completed],
+                    "next": d.state.current_name,
+                    "how": d.state.state,
+                    "why": d.state.failure,
+                }
+                for n, d in host.fleet.duties.items()
+                if n != RELEASE
+            },
+        }
 
 
 async def run(document: ControllerDocument, store: Store) -> str | None:
--- a/cartweir/controller/directory.py
+++ b/cartweir/controller/directory.py
@@ -1,4 +1,5 @@
 """Making, joining, recovering and opening a member's directory: each an act of people, none a guess of the program."""
+
 from __future__ import annotations
 
 import secrets
@@ -12,7 +13,7 @@
 from .settings import ControllerDocument
 from .store import Store, StoreError
 
-FOUNDED = "founded"         # mark of the first directories; one made later has a mark drawn anew
+FOUNDED = "founded"  # mark of the first directories; one made later has a mark drawn anew
 
 
 def fleet_of(document: ControllerDocument) -> FleetState:
@@ -25,8 +26,11 @@
     if not document.members:
         raise ValueError("[members]: all members of the new cluster are due, each with its address")
     members = {name: MemberInfo(FOUNDED, address, True) for name, address in document.members.items()}
-    Store.make(Path(section.directory), {"cluster": section.cluster, "name": section.name, "mark": FOUNDED},
-               [SnapshotRecord(Snapshot(0, 0, members, b""), False)])
+    Store.make(
+        Path(section.directory),
+        {"cluster": section.cluster, "name": section.name, "mark": FOUNDED},
+        [SnapshotRecord(Snapshot(0, 0, members, b""), False)],
+    )
 
 
 def join(document: ControllerDocument) -> str:
@@ -44,8 +48,10 @@
     for key in ("cluster", "name"):
         if store.identity[key] != getattr(section, key):
             store.close()
-            raise ValueError(f"{section.directory}: is of {key} {store.identity[key]}, the settings say "
-                             f"{getattr(section, key)}: its own directory is due; nothing was touched")
+            raise ValueError(
+                f"{section.directory}: is of {key} {store.identity[key]}, the settings say "
+                f"{getattr(section, key)}: its own directory is due; nothing was touched"
+            )
     return store
 
 
@@ -56,7 +62,9 @@
     store = opened(document)
     kept, name = store.kept, document.controller.name
     if not kept.snapshot.members and not any(e.kind == EntryKind.MEMBERSHIP for e in kept.entries):
-        raise StoreError(f"{document.controller.directory}: holds nothing: a directory that has held the log is due")
+        raise StoreError(
+            f"{document.controller.directory}: holds nothing: a directory that has held the log is due"
+        )
     fleet = fleet_of(document)
     if kept.snapshot.state:
         fleet.load(msgpack.unpackb(kept.snapshot.state, strict_map_key=False))
--- a/cartweir/controller/host.py
+++ b/cartweir/controller/host.py
@@ -1,5 +1,6 @@
 """The host of one member: its turns, its disk, its peers. What is to be told waits until the disk holds it, and what comes
 meanwhile waits its turn, so that one fsync serves all that came during the one before."""
+
 from __future__ import annotations
 
 import asyncio
@@ -10,8 +11,8 @@
 import msgpack
 
 from ..fleet.duties import LATE
-from ..fleet.leader_contact import LeaderContact
 from ..fleet.duty_manager import DutyManager, OwnershipTimeouts
+from ..fleet.leader_contact import LeaderContact
 from ..fleet.raft.log import EntryKind
 from ..fleet.raft.member import Member, MemberId, Role
 from ..fleet.raft.messages import Message
@@ -23,18 +24,27 @@
 from .store import Store, StoreError
 
 Note = Callable[..., None]
-LONGEST = 50_000            # microseconds between two looks at the clock
+LONGEST = 50_000  # microseconds between two looks at the clock
 
 
 class Host:
     """on_decided is called behind each turn in which something was decided; on_fault with the disk's own words."""
 
-    def __init__(self, document: ControllerDocument, store: Store, kept: PersistentState, note: Note, chance: random.Random) -> None:
+    def __init__(
+        self,
+        document: ControllerDocument,
+        store: Store,
+        kept: PersistentState,
+        note: Note,
+        chance: random.Random,
+    ) -> None:
         self.document, self.store, self.note = document, store, note
         section = document.controller
         self.name, self.mark = section.name, store.identity["mark"]
         self.fleet = fleet_of(document)
-        self.duty_manager = DutyManager(self.name, self.fleet, OwnershipTimeouts(section.absent, section.stuck))
+        self.duty_manager = DutyManager(
+            self.name, self.fleet, OwnershipTimeouts(section.absent, section.stuck)
+        )
         self.member = Member(MemberId(self.name, self.mark), kept, document.timing(), chance, monotonic())
         self.peers: dict[str, Peer] = {}
         self.on_decided: Callable[[], None] = lambda: None
@@ -56,6 +66,7 @@
         def do() -> None:
             for message in messages:
                 self.member.receive(monotonic(), sender, mark, message)
+
         self.soon(do)
 
     async def propose(self, command: dict[str, Any], timeout: int) -> tuple[bool, Any]:
@@ -68,6 +79,7 @@
                 self._waiting[index] = (self.member.term, done)
             elif not done.done():
                 done.set_result((False, None))
+
         self.soon(do)
         try:
             return await asyncio.wait_for(done, timeout / 1e6)
@@ -105,8 +117,12 @@
         return peer
 
     def _sign(self) -> dict[str, Any]:
-        return {"cluster": self.document.controller.cluster, "sender": self.name, "mark": self.mark,
-                "incarnation": self.fleet.incarnation}
+        return {
+            "cluster": self.document.controller.cluster,
+            "sender": self.name,
+            "mark": self.mark,
+            "incarnation": self.fleet.incarnation,
+        }
 
     # ---- turns ----
     async def run(self) -> None:
@@ -125,8 +141,12 @@
                 do()
             member.tick(monotonic())
             if member.stale_reason:
-                self.on_fault(StoreError(f"{self.store.folder}: is older than the one this member used last ({member.stale_reason}): put "
-                                         "the newer one back, or join anew with an empty directory"))
+                self.on_fault(
+                    StoreError(
+                        f"{self.store.folder}: is older than the one this member used last ({member.stale_reason}): put "
+                        "the newer one back, or join anew with an empty directory"
+                    )
+                )
                 return
             ready = member.take_ready()
             if ready.records:
@@ -169,10 +189,14 @@
 
     def _tell_change(self) -> None:
         member = self.member
-        self.leader_contact.update(member.role == Role.LEADER, member.leader, member.leader_heard_at, monotonic())
+        self.leader_contact.update(
+            member.role == Role.LEADER, member.leader, member.leader_heard_at, monotonic()
+        )
         now = (member.role, member.leader, member.term)
         if now != self._said and (now[0] == Role.LEADER or now[1] != self._said[1]):
-            self.note("leader" if now[1] else "no_leader", leader=now[1], term=now[2], index=member.commit_index)
+            self.note(
+                "leader" if now[1] else "no_leader", leader=now[1], term=now[2], index=member.commit_index
+            )
         self._said = now
 
     @property
@@ -188,4 +212,6 @@
         """Whether agents do well to listen here."""
         member = self.member
         peer = self.peer(member.leader) if member.leader and member.role != Role.LEADER else None
-        return self.leader_contact.exists(member.role == Role.LEADER, peer.silent_since if peer else None, monotonic())
+        return self.leader_contact.exists(
+            member.role == Role.LEADER, peer.silent_since if peer else None, monotonic()
+        )
--- a/cartweir/controller/peers.py
+++ b/cartweir/controller/peers.py
@@ -1,4 +1,5 @@
 """The other members as this one reaches them: words go out in order and may be lost; commands wait for their answer."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -15,8 +16,8 @@
 from . import words
 
 TELL, ACT = "/cartweir.v1.Members/Tell", "/cartweir.v1.Members/Act"
-WAITING = 256               # words for one member; older ones go first, as later ones tell more
-BROKEN = 3                  # calls in a row without an answer: the connection may be open and dead
+WAITING = 256  # words for one member; older ones go first, as later ones tell more
+BROKEN = 3  # calls in a row without an answer: the connection may be open and dead
 
 
 class Peer:
@@ -26,7 +27,7 @@
         self._words: deque[bytes] = deque(maxlen=WAITING)
         self._busy = False
         self._silent = 0
-        self.silent_since: int | None = None    # when the first call was begun that no answer has come behind
+        self.silent_since: int | None = None  # when the first call was begun that no answer has come behind
 
     def say(self, message: Message) -> None:
         self._words.append(words.pack(message))
--- a/cartweir/controller/store.py
+++ b/cartweir/controller/store.py
@@ -11,6 +11,7 @@
 | a frame with a wrong sum, the last one too | what was told may be spoilt (Alagappan et al., FAST 2018) | refused |
 | fsync fails | the pages count as clean from then on (Rebello et al., ATC 2020) | the process ends, and does not try again |
 """
+
 from __future__ import annotations
 
 import fcntl
@@ -34,9 +35,9 @@
 from .words import unpack_entry, unpack_snapshot
 
 HEAD = struct.Struct("<IQ")
-SYNCED = struct.Struct("<8sQ")           # the log file's own bytes, and how much of it is known to be on disk
+SYNCED = struct.Struct("<8sQ")  # the log file's own bytes, and how much of it is known to be on disk
 OWN = 8
-FORM = 1                    # of what is written here
+FORM = 1  # of what is written here
 
 
 class StoreError(Exception):
@@ -125,7 +126,7 @@
         """All that was told. Raises StoreError, and has nothing open then."""
         self.kept = PersistentState()
         try:
-            self.identity = self._read_identity()       # first: nothing is made where no directory was
+            self.identity = self._read_identity()  # first: nothing is made where no directory was
             self._lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._file = os.open(self.path, os.O_RDWR)
@@ -137,11 +138,15 @@
             raise StoreError(f"{self.folder}: another process has it open: end that one first") from None
         except FileNotFoundError as error:
             self.close()
-            raise StoreError(f"{self.folder}: has no {Path(error.filename).name}: `cartweir controller found` makes the first "
-                             "directories, `cartweir controller join` one for a member that lost its own") from None
+            raise StoreError(
+                f"{self.folder}: has no {Path(error.filename).name}: `cartweir controller found` makes the first "
+                "directories, `cartweir controller join` one for a member that lost its own"
+            ) from None
         except OSError as error:
             self.close()
-            raise StoreError(f"{self.folder}: {error.strerror}: a directory that can be read and written is due") from None
+            raise StoreError(
+                f"{self.folder}: {error.strerror}: a directory that can be read and written is due"
+            ) from None
         except StoreError:
             self.close()
             raise
@@ -155,11 +160,15 @@
     def _read_identity(self) -> dict[str, Any]:
         data = (self.folder / "identity").read_bytes()
         if len(data) < HEAD.size or HEAD.unpack_from(data) != (
-                len(data) - HEAD.size, xxhash.xxh64_intdigest(data[HEAD.size:])):
+            len(data) - HEAD.size,
+            xxhash.xxh64_intdigest(data[HEAD.size :]),
+        ):
             raise StoreError(f"{self.folder}/identity: cannot be read: join anew with an empty directory")
-        identity = msgpack.unpackb(data[HEAD.size:])
+        identity = msgpack.unpackb(data[HEAD.size :])
         if identity["form"] != FORM:
-            raise StoreError(f"{self.folder}/identity: written in form {identity['form']}, this program knows {FORM}")
+            raise StoreError(
+                f"{self.folder}/identity: written in form {identity['form']}, this program knows {FORM}"
+            )
         return identity
 
     def _recover(self, data: bytes, mark: bytes) -> None:
@@ -171,20 +180,26 @@
             size, due = HEAD.unpack_from(data, at) if at + HEAD.size <= len(data) else (len(data), 0)
             end = at + HEAD.size + size
             if end > len(data):
-                break                       # cut short: judged below by what was known to be on disk
-            payload = data[at + HEAD.size:end]
+                break  # cut short: judged below by what was known to be on disk
+            payload = data[at + HEAD.size : end]
             if xxhash.xxh64_intdigest(payload, seed=at) != due:
-                raise StoreError(f"{self.path}: the frame at byte {at} is spoilt, and what it held may have been told: "
-                                 "join anew with an empty directory")
+                raise StoreError(
+                    f"{self.path}: the frame at byte {at} is spoilt, and what it held may have been told: "
+                    "join anew with an empty directory"
+                )
             try:
                 for parts in msgpack.unpackb(payload, use_list=True):
                     self.kept.add(unpack(parts))
             except (ValueError, TypeError, msgpack.UnpackException) as error:
-                raise StoreError(f"{self.path}: the frame at byte {at} is of no known form ({error}): "
-                                 "a newer program wrote it?") from None
+                raise StoreError(
+                    f"{self.path}: the frame at byte {at} is of no known form ({error}): "
+                    "a newer program wrote it?"
+                ) from None
             at, self.frames = end, self.frames + 1
         if at < synced and own == self._own:
-            raise StoreError(f"{self.path}: ends at byte {at}, {synced} were told: join anew with an empty directory")
+            raise StoreError(
+                f"{self.path}: ends at byte {at}, {synced} were told: join anew with an empty directory"
+            )
         if at < len(data):
             os.ftruncate(self._file, at)
             self._fsync()
@@ -201,11 +216,13 @@
                 return
             data = memoryview(frame(self.size, saves))
             while data:
-                data = data[os.write(self._file, data):]
+                data = data[os.write(self._file, data) :]
             self._fsync()
         except OSError as error:
-            raise DiskFailed(f"{self.path}: {error.strerror}: what was to be told is not on disk; this process ends and is "
-                             "to be started again once the disk takes writes") from None
+            raise DiskFailed(
+                f"{self.path}: {error.strerror}: what was to be told is not on disk; this process ends and is "
+                "to be started again once the disk takes writes"
+            ) from None
         for save in saves:
             self.kept.add(save)
         self.size, self.frames = os.lseek(self._file, 0, os.SEEK_CUR), self.frames + 1
@@ -216,9 +233,19 @@
             self.kept.add(save)
         kept = self.kept
         self._own = os.urandom(OWN)
-        self._whole("log", self._own + frame(OWN, [
-            SnapshotRecord(kept.snapshot, False), VoteRecord(kept.term, kept.voted_for), *map(EntryRecord, kept.entries),
-            *(StartRecord(name, *start) for name, start in kept.starts.items())]))
+        self._whole(
+            "log",
+            self._own
+            + frame(
+                OWN,
+                [
+                    SnapshotRecord(kept.snapshot, False),
+                    VoteRecord(kept.term, kept.voted_for),
+                    *map(EntryRecord, kept.entries),
+                    *(StartRecord(name, *start) for name, start in kept.starts.items()),
+                ],
+            ),
+        )
         os.close(self._file)
         self._file = os.open(self.path, os.O_RDWR)
         self.size = os.lseek(self._file, 0, os.SEEK_END)
@@ -229,8 +256,10 @@
         try:
             self.sync(self._file)
         except OSError as error:
-            raise DiskFailed(f"{self.path}: fsync: {error.strerror}: the pages count as clean now, so that no second try "
-                             "would tell: this process ends") from None
+            raise DiskFailed(
+                f"{self.path}: fsync: {error.strerror}: the pages count as clean now, so that no second try "
+                "would tell: this process ends"
+            ) from None
 
     def _tell_synced(self) -> None:
         """How far the log is on disk; itself not synced: too low a number forbids nothing that was not told."""
--- a/cartweir/controller/words.py
+++ b/cartweir/controller/words.py
@@ -1,4 +1,5 @@
 """Members' messages as MessagePack: nothing that is read can be executed, and what is not known is refused."""
+
 from __future__ import annotations
 
 import msgpack
--- a/cartweir/faults/day.py
+++ b/cartweir/faults/day.py
@@ -1,5 +1,6 @@
 """The scripted bad day with controllers in the conveyor's place: processes, whose owner of the release is killed, stopped and
 cut off while builds come in. Machines are started and drained by what controllers want, under the receivers' rule."""
+
 from __future__ import annotations
 
 import asyncio
@@ -7,8 +8,8 @@
 import signal
 from typing import Any
 
-from ..hosting.tcp import spawn
 from ..audit.report import Report
+from ..hosting.tcp import spawn
 from ..proto import agent_pb2 as pb
 from ..standin.appliance import Appliance, Fleet
 from ..standin.day import SETTINGS, Day, Step
@@ -18,7 +19,7 @@
 from .rig import Rig, Scale
 from .verdict import Verdict, judge
 
-LOOK = 0.1                  # seconds between two looks at the stage, for the day's own report
+LOOK = 0.1  # seconds between two looks at the stage, for the day's own report
 
 
 class MachineHost:
@@ -39,7 +40,7 @@
             for _ in range(wanted.get(build, 0) - len(running) - booting):
                 self._booting[build] = self._booting.get(build, 0) + 1
                 loop.call_later(self.fleet.make.boot_time / 1e6, self._booted, build)
-            for machine in running[wanted.get(build, 0):]:
+            for machine in running[wanted.get(build, 0) :]:
                 # drained first, and stopped once agents have had the news and the time to finish
                 machine.leaving = True
                 self.fleet.drain(machine)
@@ -47,7 +48,7 @@
 
     def _booted(self, build: int) -> None:
         self._booting[build] -= 1
-        if len(self._running(build)) < self.wanted.get(build, 0):       # still wanted
+        if len(self._running(build)) < self.wanted.get(build, 0):  # still wanted
             self.fleet.launch(build)
 
     def runs(self, build: int) -> bool:
@@ -64,10 +65,12 @@
         async def until_taken() -> None:
             while not await self.rig.offer(build):
                 await asyncio.sleep(0.1)
+
         spawn(until_taken())
 
     def flag(self, flag: pb.Flag) -> None:
         """To each controller: the one at which the agent listens passes it on."""
+
         async def tell(address: str) -> None:
             channel = Channel(address, 300_000)
             try:
@@ -76,6 +79,7 @@
                 pass
             finally:
                 channel.close()
+
         for name in self.rig.names:
             if self.rig.alive(name):
                 spawn(tell(self.rig.listen[name]))
@@ -112,12 +116,18 @@
                     face = at["build"], at["stage"], at["phase"]
                     if last is None or (face != last and face[0] >= last[0]):
                         last = face
-                        self.day.note("stage", build=face[0], number=face[1], phase=face[2], owner=status["duties"]["release"]["owner"])
+                        self.day.note(
+                            "stage",
+                            build=face[0],
+                            number=face[1],
+                            phase=face[2],
+                            owner=status["duties"]["release"]["owner"],
+                        )
                     break
             await asyncio.sleep(LOOK)
 
     def shut(self) -> None:
-        pass                                # ended with the day: ControlledDay._stop_all
+        pass  # ended with the day: ControlledDay._stop_all
 
 
 class ControlledDay(Day):
@@ -131,7 +141,9 @@
     async def run(self) -> Report:
         """The audit's report; `verdict`: on the controllers, from what machines' hosts took and agents followed beside a majority's log."""
         report = await super().run()
-        self.verdict = judge(list(self.rig.documents.values()), self.folder / "receivers.jsonl", self.followed(), [])
+        self.verdict = judge(
+            list(self.rig.documents.values()), self.folder / "receivers.jsonl", self.followed(), []
+        )
         return report
 
     def followed(self) -> list[dict[str, Any]]:
@@ -148,9 +160,14 @@
         scale = Scale(self.controllers, 0, 100, 500, bake=1_000, grace=2_000, steps=())
         host = MachineHost(self.fleet, scale.grace * 1000)
         self.receivers = Receivers(self.folder / "receivers.jsonl", fleet=host)
-        release = SETTINGS[SETTINGS.index("[release]"):SETTINGS.index("[operation parcel-view]")]
-        self.rig = Rig(self.folder / "controllers", scale, self.seed, release=release.strip(),
-                       receivers=self.receivers.listen_on("127.0.0.1:0"))
+        release = SETTINGS[SETTINGS.index("[release]") : SETTINGS.index("[operation parcel-view]")]
+        self.rig = Rig(
+            self.folder / "controllers",
+            scale,
+            self.seed,
+            release=release.strip(),
+            receivers=self.receivers.listen_on("127.0.0.1:0"),
+        )
         self.rig.machines = self.count
         await self.rig.start()
         await self.rig.owner()
@@ -161,10 +178,12 @@
     def script(self) -> list[Step]:
         first, second, third = self.chance.sample(("killed", "stopped", "cut off"), 3)
         hurt = self.conveyor.hurt_owner
-        return [*super().script(),
-                Step(0.12, f"the owner of the release is {first}", lambda: hurt(first, 1.5)),
-                Step(0.50, f"the owner of the release is {second}", lambda: hurt(second, 2.0)),
-                Step(0.65, f"the owner of the release is {third}", lambda: hurt(third, 1.0))]
+        return [
+            *super().script(),
+            Step(0.12, f"the owner of the release is {first}", lambda: hurt(first, 1.5)),
+            Step(0.50, f"the owner of the release is {second}", lambda: hurt(second, 2.0)),
+            Step(0.65, f"the owner of the release is {third}", lambda: hurt(third, 1.0)),
+        ]
 
     async def _stop_all(self) -> None:
         await super()._stop_all()
--- a/cartweir/faults/disk.py
+++ b/cartweir/faults/disk.py
@@ -6,6 +6,7 @@
                             SIGKILL ends it there, SIGSTOP leaves it standing until SIGCONT; once, the file is taken away
 
 The disk is changed where the program meets it, in os.write and os.fsync: the program itself knows nothing of this."""
+
 from __future__ import annotations
 
 import contextlib
@@ -19,7 +20,10 @@
 from pathlib import Path
 from typing import Any
 
-LOGS = ("log", "receivers.jsonl")       # names of files whose writes may be torn: a controller's log, the receivers' store
+LOGS = (
+    "log",
+    "receivers.jsonl",
+)  # names of files whose writes may be torn: a controller's log, the receivers' store
 
 
 def hurt(file: Path) -> None:
@@ -32,11 +36,13 @@
         return {}
 
     def torn_write(descriptor: int, data: Any) -> int:
-        with contextlib.suppress(OSError):          # a descriptor of another kind has no path
+        with contextlib.suppress(OSError):  # a descriptor of another kind has no path
             if Path(os.readlink(f"/proc/self/fd/{descriptor}")).name in LOGS and (how := said().get("tear")):
                 file.unlink()
-                done = write(descriptor, memoryview(data)[:len(data) // 2])
-                signal.pthread_kill(threading.get_ident(), signal.Signals[how])     # before this thread does more
+                done = write(descriptor, memoryview(data)[: len(data) // 2])
+                signal.pthread_kill(
+                    threading.get_ident(), signal.Signals[how]
+                )  # before this thread does more
                 return done
         return write(descriptor, data)
 
@@ -50,4 +56,6 @@
 if __name__ == "__main__":
     hurt(Path(sys.argv[1]))
     del sys.argv[1]
-    runpy.run_module("cartweir", run_name="__main__", alter_sys=True)   # behind the change: the store takes os.fsync when it is loaded
+    runpy.run_module(
+        "cartweir", run_name="__main__", alter_sys=True
+    )  # behind the change: the store takes os.fsync when it is loaded
--- a/cartweir/faults/light.py
+++ b/cartweir/faults/light.py
@@ -1,4 +1,5 @@
 """A light agent: the news and the votes of a real one, without its traffic. What it follows it notes."""
+
 from __future__ import annotations
 
 import asyncio
@@ -48,8 +49,17 @@
     """say(kind, **facts): one call for each stage followed and each ballot answered ok. votes: it votes each stage on, as
     soon as it hears of it, and again while it stands."""
 
-    def __init__(self, number: int, addresses: list[str], say: Callable[..., None], *, stages: int = 3, votes: bool = True,
-                 stage_file: Path | None = None, seed: int = 0) -> None:
+    def __init__(
+        self,
+        number: int,
+        addresses: list[str],
+        say: Callable[..., None],
+        *,
+        stages: int = 3,
+        votes: bool = True,
+        stage_file: Path | None = None,
+        seed: int = 0,
+    ) -> None:
         self.number, self.say, self.votes = number, say, votes
         self._chance = random.Random(seed * 1000 + number)
         self._addresses, self._stages, self._file = addresses, stages, stage_file
@@ -61,9 +71,17 @@
         self.stamp: tuple = (0, 0)
         self.stamps = _Noted(str(self._file) if self._file else None, self._note, self._taken)
         self.news = ConveyorNews(
-            _Seat(self._stages, self._follow), [Channel(address, 300_000) for address in self._addresses],
-            pb.Hello(agent=self.number), 800_000, 6_000_000, Waits(50_000, 500_000, self._chance), self._note, monotonic,
-            self.stamps, self._chance)
+            _Seat(self._stages, self._follow),
+            [Channel(address, 300_000) for address in self._addresses],
+            pb.Hello(agent=self.number),
+            800_000,
+            6_000_000,
+            Waits(50_000, 500_000, self._chance),
+            self._note,
+            monotonic,
+            self.stamps,
+            self._chance,
+        )
         self.news.start()
 
     def stop(self) -> None:
@@ -84,15 +102,30 @@
         if stage.answer not in (None, "ok"):
             return
         new = self.stage is None or (stage.build, stage.number, stage.phase) != (
-            self.stage.build, self.stage.number, self.stage.phase)
+            self.stage.build,
+            self.stage.number,
+            self.stage.phase,
+        )
         self.stage = stage
-        self.say("stage", agent=self.number, epoch=self.stamp[0], index=self.stamp[1], build=stage.build, stage=stage.number,
-                 phase=stage.phase, cap=stage.cap)
+        self.say(
+            "stage",
+            agent=self.number,
+            epoch=self.stamp[0],
+            index=self.stamp[1],
+            build=stage.build,
+            stage=stage.number,
+            phase=stage.phase,
+            cap=stage.cap,
+        )
         if new and self.votes and stage.phase == "on trial":
             spawn(self._voting((stage.build, stage.number)))
 
     async def _voting(self, what: tuple[int, int]) -> None:
-        while self.stage is not None and (self.stage.build, self.stage.number) == what and self.stage.phase == "on trial":
+        while (
+            self.stage is not None
+            and (self.stage.build, self.stage.number) == what
+            and self.stage.phase == "on trial"
+        ):
             self.news.vote(*what, ON)
             await asyncio.sleep(1.0)
 
--- a/cartweir/faults/real.py
+++ b/cartweir/faults/real.py
@@ -1,6 +1,7 @@
 """All that the rig draws, under real agents with traffic: controllers, agents and clients are processes, faults are drawn between and
 under them from one seed while builds come in, good and bad. Judged twice from what passed: the five rules by the taps, the
 controllers by what machines and agents took."""
+
 from __future__ import annotations
 
 import asyncio
@@ -12,13 +13,14 @@
 from ..standin.day import BAD, Step
 from .day import ControlledDay
 
-QUIET = 5.0                 # seconds at the end without a fault, and without a new build
-LOSABLE = ("list", "facts")     # an agent's files; its stage is what it is a receiver by
+QUIET = 5.0  # seconds at the end without a fault, and without a new build
+LOSABLE = ("list", "facts")  # an agent's files; its stage is what it is a receiver by
 
 
 class FaultDay(ControlledDay):
     """Raises OSError as a day does."""
-    tick = "60ms"               # many processes share few cores here: answers are given that much earlier
+
+    tick = "60ms"  # many processes share few cores here: answers are given that much earlier
 
     def script(self) -> Iterator[Step]:
         self._until = monotonic() + int((self.seconds - QUIET) * 1e6)
@@ -30,7 +32,9 @@
         while monotonic() < self._until:
             bad = self.chance.random() < 0.4
             self.fleet.qualities[build] = self.chance.choice(BAD) if bad else Quality()
-            self.say(f"{(monotonic() - self._began) / 1e6:6.2f} s  build {build} is offered, and {'bad' if bad else 'good'}")
+            self.say(
+                f"{(monotonic() - self._began) / 1e6:6.2f} s  build {build} is offered, and {'bad' if bad else 'good'}"
+            )
             self.conveyor.offer(build)
             build += 1
             await asyncio.sleep(self.chance.uniform(7.0, 11.0))
@@ -54,14 +58,16 @@
         machine = chance.choice(list(self.fleet.machines.values()))
         match kind:
             case "agent":
-                await self._kill(chance.randrange(self.agents), span, LOSABLE if chance.random() < 0.5 else ())
+                await self._kill(
+                    chance.randrange(self.agents), span, LOSABLE if chance.random() < 0.5 else ()
+                )
             case "all agents":
                 await asyncio.gather(*(self._kill(me, 0.0) for me in range(self.agents)))
             case "registry":
                 self.registry.fail(True)
                 await asyncio.sleep(span)
                 self.registry.fail(False)
-            case "list":                    # lost; appliances enter themselves once more, one after the other
+            case "list":  # lost; appliances enter themselves once more, one after the other
                 self.registry.begin_anew()
                 for each in list(self.fleet.machines.values()):
                     await asyncio.sleep(0.05)
--- a/cartweir/faults/rig.py
+++ b/cartweir/faults/rig.py
@@ -1,4 +1,5 @@
 """The processes of one run: controllers behind cuts, receivers, light agents; and what befalls them."""
+
 from __future__ import annotations
 
 import asyncio
@@ -119,6 +120,7 @@
 @dataclass
 class Scale:
     """Of a run. Times in milliseconds."""
+
     controllers: int = 3
     agents: int = 12
     heartbeat: int = 60
@@ -126,17 +128,24 @@
     bake: int = 300
     grace: int = 500
     steps: tuple = ("add", "copy", "drop", "check")
-    votes: bool = True              # of the light agents
-    admit: int = 200                # agents that a controller lets listen a second
-    files: bool = True              # of the light agents; hundreds that sync theirs on one disk are no fleet on machines of their own
+    votes: bool = True  # of the light agents
+    admit: int = 200  # agents that a controller lets listen a second
+    files: bool = True  # of the light agents; hundreds that sync theirs on one disk are no fleet on machines of their own
 
 
 class Rig:
     """Raises OSError where ports or the folder cannot be had. unfenced: receivers that take all, a fault put in. release:
     the [release] section, as text. receivers: their address where they run elsewhere."""
 
-    def __init__(self, folder: Path, scale: Scale, seed: int = 1, unfenced: bool = False, release: str = "",
-                 receivers: str | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        scale: Scale,
+        seed: int = 1,
+        unfenced: bool = False,
+        release: str = "",
+        receivers: str | None = None,
+    ) -> None:
         self.release = release or RELEASE.format(on_votes=max(1, scale.agents // 2))
         self.receivers = receivers
         self.folder, self.scale, self.seed, self.unfenced = folder, scale, seed, unfenced
@@ -148,7 +157,7 @@
         self.facts: list[dict[str, Any]] = []
         self.followed: list[dict[str, Any]] = []
         self.told_ok: list[tuple] = []
-        self.machines = 10                      # of the fleet, as builds are offered to it
+        self.machines = 10  # of the fleet, as builds are offered to it
         self.began = monotonic()
         self.counts: Counter = Counter()
 
@@ -166,35 +175,72 @@
         listen["receivers"] = self.receivers or listen["receivers"]
         self.listen, self.record = listen, self.folder / "receivers.jsonl"
         pairs = [(f"{a}-{b}", "127.0.0.1:0", listen[b]) for a in names for b in names if a != b]
-        pairs += [(f"{a}-{what}", "127.0.0.1:0", listen["receivers"]) for a in names for what in ("machines", "steps")]
+        pairs += [
+            (f"{a}-{what}", "127.0.0.1:0", listen["receivers"])
+            for a in names
+            for what in ("machines", "steps")
+        ]
         pairs += [(f"agents-{a}", "127.0.0.1:0", listen[a]) for a in names]
         self.cut = Cut(pairs, self.say)
         ways = await self.cut.start("127.0.0.1:0")
         for name in names:
             path = self.folder / f"{name}.ini"
-            path.write_text(SETTINGS.format(
-                name=name, listen=listen[name], folder=self.folder, heartbeat=scale.heartbeat, election=scale.election,
-                absent=3 * scale.election, admit=scale.admit, members="\n".join(f"{n} = {listen[n]}" for n in names),
-                routes="\n".join(f"{n} = {ways[f'{name}-{n}']}" for n in names if n != name),
-                release=self.release, bake=scale.bake, grace=scale.grace, machines=ways[f"{name}-machines"],
-                steps=STEPS.format(names=", ".join(scale.steps), target=ways[f"{name}-steps"]) if scale.steps else ""))
+            path.write_text(
+                SETTINGS.format(
+                    name=name,
+                    listen=listen[name],
+                    folder=self.folder,
+                    heartbeat=scale.heartbeat,
+                    election=scale.election,
+                    absent=3 * scale.election,
+                    admit=scale.admit,
+                    members="\n".join(f"{n} = {listen[n]}" for n in names),
+                    routes="\n".join(f"{n} = {ways[f'{name}-{n}']}" for n in names if n != name),
+                    release=self.release,
+                    bake=scale.bake,
+                    grace=scale.grace,
+                    machines=ways[f"{name}-machines"],
+                    steps=STEPS.format(names=", ".join(scale.steps), target=ways[f"{name}-steps"])
+                    if scale.steps
+                    else "",
+                )
+            )
             self.documents[name] = read_controller(path)
             found(self.documents[name])
         await asyncio.gather(*map(self.run, names if self.receivers else ["receivers", *names]))
         self.addresses = addresses = [ways[f"agents-{a}"] for a in names]
-        self.agents = [LightAgent(number, addresses, self.say, votes=scale.votes, seed=self.seed,
-                                  stage_file=self.folder / f"agent{number}.stage" if scale.files else None)
-                       for number in range(scale.agents)]
+        self.agents = [
+            LightAgent(
+                number,
+                addresses,
+                self.say,
+                votes=scale.votes,
+                seed=self.seed,
+                stage_file=self.folder / f"agent{number}.stage" if scale.files else None,
+            )
+            for number in range(scale.agents)
+        ]
 
     async def run(self, name: str) -> None:
         """A process of the program, in its own folder's log."""
-        arguments = ["standin", "receivers", "--record", str(self.record), "--listen", self.listen["receivers"]] if (
-            name == "receivers") else ["controller", "run", "--settings", str(self.folder / f"{name}.ini")]
+        arguments = (
+            ["standin", "receivers", "--record", str(self.record), "--listen", self.listen["receivers"]]
+            if (name == "receivers")
+            else ["controller", "run", "--settings", str(self.folder / f"{name}.ini")]
+        )
         if name == "receivers" and self.unfenced:
             arguments.append("--unfenced")
         with open(self.folder / f"{name}.log", "a") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "cartweir.faults.disk", str(self._disk(name)), *arguments, stdout=log, stderr=log, cwd=Path(__file__).parents[2])
+                sys.executable,
+                "-m",
+                "cartweir.faults.disk",
+                str(self._disk(name)),
+                *arguments,
+                stdout=log,
+                stderr=log,
+                cwd=Path(__file__).parents[2],
+            )
 
     def _disk(self, name: str) -> Path:
         return self.folder / f"{name}.disk"
@@ -225,16 +271,24 @@
         raise TimeoutError(f"no controller came to it within {seconds:g} s; last: {last}")
 
     async def owner(self, duty: str = "release", seconds: float = 20.0) -> str:
-        status = await self.until(lambda s: s["role"] == "leader" and s["duties"][duty]["owner"] is not None, seconds)
+        status = await self.until(
+            lambda s: s["role"] == "leader" and s["duties"][duty]["owner"] is not None, seconds
+        )
         return status["duties"][duty]["owner"]
 
     async def offer(self, build: int) -> bool:
         for name in self.names:
-            if self.alive(name) and (answer := await self.ask(name, ask="offer", build=build, machines=self.machines)) and answer.get("taken"):
+            if (
+                self.alive(name)
+                and (answer := await self.ask(name, ask="offer", build=build, machines=self.machines))
+                and answer.get("taken")
+            ):
                 return True
         return False
 
-    async def ballots(self, through: str, numbers: Iterable[int], build: int, stage: int, choice: int, serial: int = 0) -> list[int]:
+    async def ballots(
+        self, through: str, numbers: Iterable[int], build: int, stage: int, choice: int, serial: int = 0
+    ) -> list[int]:
         """Of agents that are not there, told to one controller under serial + number until each is answered: the answers."""
         channel = Channel(self.listen[through], 500_000)
 
@@ -242,10 +296,13 @@
             ballot = pb.Ballot(agent=number, build=build, stage=stage, choice=choice, serial=serial + number)
             while True:
                 try:
-                    answer = await channel.unary("/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), 2_500_000)
+                    answer = await channel.unary(
+                        "/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), 2_500_000
+                    )
                     return pb.Verdict.FromString(answer.message).answer
                 except CallError:
                     await asyncio.sleep(0.05)
+
         answers = await asyncio.gather(*map(tell, numbers))
         channel.close()
         return answers
@@ -288,12 +345,30 @@
         """One drawn fault, and its end."""
         chance = self.chance
         name = chance.choice(self.names)
-        if chance.random() < 0.6:               # where it hurts most
+        if chance.random() < 0.6:  # where it hurts most
             with contextlib.suppress(TimeoutError):
-                name = await self.owner(chance.choice(("release", "steps owners") if self.scale.steps else ("release",)), 3)
+                name = await self.owner(
+                    chance.choice(("release", "steps owners") if self.scale.steps else ("release",)), 3
+                )
         span = chance.choice((0.3, 0.8, 1.5, 3.0))
-        kind = chance.choice(("kill", "kill", "stop", "stop", "apart", "one-way", "from-agents", "from-machines", "slow", "reset", "all",
-                              "slow-disk", "torn", "torn"))
+        kind = chance.choice(
+            (
+                "kill",
+                "kill",
+                "stop",
+                "stop",
+                "apart",
+                "one-way",
+                "from-agents",
+                "from-machines",
+                "slow",
+                "reset",
+                "all",
+                "slow-disk",
+                "torn",
+                "torn",
+            )
+        )
         self.say("trouble", kind=kind, who=name, seconds=span)
         note(f"{(monotonic() - self.began) / 1e6:5.1f} s  {kind}: {name}, {span:g} s")
         match kind:
@@ -337,11 +412,11 @@
                 self.disk(name, slow=chance.choice((0.05, 0.2, 0.6)))
                 await asyncio.sleep(span)
                 self.disk(name)
-            case "torn":                    # killed or stopped with half of a write on disk
+            case "torn":  # killed or stopped with half of a write on disk
                 how = chance.choice(("SIGKILL", "SIGSTOP"))
                 self.disk(name, tear=how)
                 await asyncio.sleep(span)
-                self.disk(name)             # where it wrote nothing meanwhile
+                self.disk(name)  # where it wrote nothing meanwhile
                 self.signal(name, signal.SIGCONT)
                 if not self.alive(name):
                     await self.run(name)
@@ -393,7 +468,8 @@
         return verdict
 
 
-async def play(folder: Path, scale: Scale, seed: int, seconds: float, unfenced: bool, note: Callable[[str], None]) -> tuple[Verdict, Rig]:
+async def play(
+    folder: Path, scale: Scale, seed: int, seconds: float, unfenced: bool, note: Callable[[str], None]
+) -> tuple[Verdict, Rig]:
     rig = Rig(folder, scale, seed, unfenced)
     return await rig.play(seconds, note), rig
-
--- a/cartweir/faults/verdict.py
+++ b/cartweir/faults/verdict.py
@@ -1,5 +1,6 @@
 """What receivers saw, beside what was decided: the log of a majority, read from the controllers' directories once they have
 ended. No controller is asked what it thinks of itself."""
+
 from __future__ import annotations
 
 import json
@@ -22,15 +23,20 @@
 class Verdict:
     breaches: list[str] = field(default_factory=list)
     decided: int = 0
-    effects: int = 0            # taken by receivers
-    late: int = 0               # refused by them
-    ballots: int = 0            # told ok
+    effects: int = 0  # taken by receivers
+    late: int = 0  # refused by them
+    ballots: int = 0  # told ok
     steps: int = 0
-    owners: int = 0             # grants in the log
+    owners: int = 0  # grants in the log
 
     def text(self) -> str:
-        return "\n".join([f"decided {self.decided}, owners {self.owners}, effects taken {self.effects}, refused as late {self.late}, "
-                          f"ballots told ok {self.ballots}, steps done {self.steps}", *(self.breaches or ["no breach"])])
+        return "\n".join(
+            [
+                f"decided {self.decided}, owners {self.owners}, effects taken {self.effects}, refused as late {self.late}, "
+                f"ballots told ok {self.ballots}, steps done {self.steps}",
+                *(self.breaches or ["no breach"]),
+            ]
+        )
 
 
 def logs(documents: Iterable[ControllerDocument], verdict: Verdict) -> dict[int, tuple[int, bytes | None]]:
@@ -42,8 +48,12 @@
         kept = store.open()
         store.close()
         if kept.snapshot.index:
-            verdict.breaches.append(f"{document.controller.name}: its log was folded: [controller] compact is too low for a verdict")
-        held.append({e.index: (e.term, e.data if e.kind == EntryKind.COMMAND else None) for e in kept.entries})
+            verdict.breaches.append(
+                f"{document.controller.name}: its log was folded: [controller] compact is too low for a verdict"
+            )
+        held.append(
+            {e.index: (e.term, e.data if e.kind == EntryKind.COMMAND else None) for e in kept.entries}
+        )
     found: dict[int, tuple[int, Any]] = {}
     for index in range(1, max((max(log, default=0) for log in held), default=0) + 1):
         rows = [log[index] for log in held if index in log]
@@ -52,28 +62,38 @@
     return found
 
 
-def judge(documents: list[ControllerDocument], record: Path, agents: list[dict[str, Any]], told_ok: list[tuple]) -> Verdict:
+def judge(
+    documents: list[ControllerDocument], record: Path, agents: list[dict[str, Any]], told_ok: list[tuple]
+) -> Verdict:
     """record: of the receivers. agents: rows of what agents followed, in order. told_ok: agent, build and stage of ballots."""
     verdict = Verdict()
     log = logs(documents, verdict)
     verdict.decided = max(log, default=0)
     fleet = fleet_of(documents[0])
-    faces: dict[tuple, Any] = {}            # by duty and token: what may be told under it
+    faces: dict[tuple, Any] = {}  # by duty and token: what may be told under it
     counted: set[tuple] = set()
     for index in sorted(log):
         if log[index][1] is not None:
             command = msgpack.unpackb(log[index][1], strict_map_key=False)
             answer, what = fleet.apply(index, command), command.get("what", {})
-            verdict.owners += command["do"] == "grant" and command["after"] != fleet.duties[command["duty"]].epoch
+            verdict.owners += (
+                command["do"] == "grant" and command["after"] != fleet.duties[command["duty"]].epoch
+            )
             if what.get("what") == "vote" and answer == Answer.OK:
                 counted.add((what["agent"], what["build"], what["stage"]))
         for name, duty in fleet.duties.items():
             faces[name, tuple(duty.token)] = duty.state.view()
-    _receivers(verdict, [json.loads(line) for line in record.read_text().splitlines()], faces,
-               {f"steps {n}": list(s.names) for n, s in documents[0].steps.items()})
+    _receivers(
+        verdict,
+        [json.loads(line) for line in record.read_text().splitlines()],
+        faces,
+        {f"steps {n}": list(s.names) for n, s in documents[0].steps.items()},
+    )
     _agents(verdict, agents, faces)
     verdict.ballots = len(told_ok)
-    verdict.breaches += [f"ballot {ballot} was told ok and is not in the log" for ballot in set(told_ok) - counted]
+    verdict.breaches += [
+        f"ballot {ballot} was told ok and is not in the log" for ballot in set(told_ok) - counted
+    ]
     return verdict
 
 
@@ -88,7 +108,9 @@
             continue
         verdict.effects += 1
         if stamp < highest.get(duty, (0, 0)):
-            verdict.breaches.append(f"{duty}: an effect of {stamp} was carried out after one of {highest[duty]}")
+            verdict.breaches.append(
+                f"{duty}: an effect of {stamp} was carried out after one of {highest[duty]}"
+            )
         highest[duty] = max(highest.get(duty, (0, 0)), stamp)
         face = faces.get((duty, stamp))
         if face is None:
@@ -101,7 +123,7 @@
             done[duty].append((row["number"], row["name"]))
     for duty, found in done.items():
         verdict.steps += len(found)
-        if found != list(enumerate(steps[duty]))[:len(found)]:
+        if found != list(enumerate(steps[duty]))[: len(found)]:
             verdict.breaches.append(f"{duty}: carried out as {found}")
 
 
@@ -116,5 +138,7 @@
         highest[who] = max(highest.get(who, (0, 0)), stamp)
         face = faces.get((RELEASE, stamp))
         if face is None or (row["build"], row["stage"], row["phase"]) != (face[0], face[1], phases[face[2]]):
-            verdict.breaches.append(f"agent {who}: was told build {row['build']}, stage {row['stage']}, {row['phase']} under {stamp}, "
-                                    f"decided was {face}")
+            verdict.breaches.append(
+                f"agent {who}: was told build {row['build']}, stage {row['stage']}, {row['phase']} under {stamp}, "
+                f"decided was {face}"
+            )
--- a/cartweir/model/cluster.py
+++ b/cartweir/model/cluster.py
@@ -1,5 +1,6 @@
 """Controllers, receivers and what befalls them, in a simulated world; the verdict comes from what receivers and clients
 saw, and from comparing what members decided, never from what an owner says of itself."""
+
 from __future__ import annotations
 
 import copy
@@ -12,13 +13,13 @@
 import msgpack
 
 from ..fleet.duties import LATE, RELEASE, FleetState
-from ..fleet.fencing import Fence, FencingToken
 from ..fleet.duty_manager import DutyManager, Effect, MachinesWanted, OwnershipTimeouts
-from ..fleet.step_target import StepTarget, StepVerdict
+from ..fleet.fencing import Fence, FencingToken
 from ..fleet.raft.log import EntryKind, MemberInfo, Snapshot
 from ..fleet.raft.member import Member, MemberId, Role, Timing
 from ..fleet.raft.records import PersistentState, VoteRecord
 from ..fleet.rollout import Answer, Choice, Phase, Rollout, RolloutPlan, StepsNeeded
+from ..fleet.step_target import StepTarget, StepVerdict
 from .world import Clock, Disk, Network, World
 
 STEPS = {"owners": ["add", "copy", "drop"]}
@@ -28,13 +29,14 @@
 @dataclass
 class Shape:
     """Of one history. broken: a fault put into the program on purpose, which the verdict has to find."""
+
     members: int = 3
     agents: int = 4
     seconds: float = 10.0
-    faults: float = 2.0             # of each kind, a second
+    faults: float = 2.0  # of each kind, a second
     broken: str = ""
     timing: Timing = field(default_factory=lambda: Timing(50_000, 250_000))
-    quiet: float = 3.0              # seconds without faults at the end: all has to come right
+    quiet: float = 3.0  # seconds without faults at the end: all has to come right
 
 
 class Twice(Rollout):
@@ -60,13 +62,13 @@
 
     def __init__(self) -> None:
         self.breaches: list[str] = []
-        self.seen: dict[str, list[tuple[FencingToken, Any]]] = {}          # by receiver and duty
-        self.steps: list[tuple[int, str]] = []                      # carried out at the target
+        self.seen: dict[str, list[tuple[FencingToken, Any]]] = {}  # by receiver and duty
+        self.steps: list[tuple[int, str]] = []  # carried out at the target
         self.leaders: dict[int, set[str]] = {}
-        self.log: dict[int, tuple[int, Any]] = {}                   # decided, by index
-        self.ok: list[tuple[int, int]] = []                         # ballots that were told ok: agent, serial
+        self.log: dict[int, tuple[int, Any]] = {}  # decided, by index
+        self.ok: list[tuple[int, int]] = []  # ballots that were told ok: agent, serial
         self.late = self.refused = 0
-        self.ownerless: list[int] = []                              # microseconds, each time
+        self.ownerless: list[int] = []  # microseconds, each time
         self.counts: Counter = Counter()
 
     def breach(self, text: str) -> None:
@@ -92,16 +94,23 @@
         if rollout.build != build or (rollout.stage, rollout.phase) == (number, phase):
             return
         choice = Choice.BACK if rollout.phase == Phase.GOING_BACK else Choice.ON
-        standing = sum(b[0] == build and b[2] == choice and b[3] > fleet.now - plan.vote_life and (
-            choice == Choice.BACK or b[1] == number) for b in ballots.values())
+        standing = sum(
+            b[0] == build
+            and b[2] == choice
+            and b[3] > fleet.now - plan.vote_life
+            and (choice == Choice.BACK or b[1] == number)
+            for b in ballots.values()
+        )
         due = plan.back_votes if choice == Choice.BACK else plan.on_votes
         if rollout.phase in (Phase.GOING_BACK, Phase.ON_TRIAL, Phase.RELEASED) and standing < due:
-            self.breach(f"entry {index}: build {build} left stage {number} by {standing} agents, {due} are due")
+            self.breach(
+                f"entry {index}: build {build} left stage {number} by {standing} agents, {due} are due"
+            )
 
     def judge(self, plan: RolloutPlan, steps: dict[str, list[str]], broken: str = "") -> None:
         """Replays what was decided, holds what was told beside it, and counts the votes once more by hand."""
         fleet = fleet_of(plan, broken)
-        ballots: dict[int, tuple] = {}          # by agent: build, stage, choice, when
+        ballots: dict[int, tuple] = {}  # by agent: build, stage, choice, when
         told: dict[tuple[str, FencingToken], Any] = {}
         counted = set()
         for index in sorted(self.log):
@@ -126,7 +135,7 @@
             if ballot not in counted:
                 self.breach(f"ballot {ballot} was told ok and is not in the log")
         for name, names in steps.items():
-            if self.steps != list(enumerate(names))[:len(self.steps)]:
+            if self.steps != list(enumerate(names))[: len(self.steps)]:
                 self.breach(f"steps {name}: carried out as {self.steps}")
 
 
@@ -153,8 +162,9 @@
             kept.voted_for = None
         self.life += 1
         self.up, self.busy, self.inbox = True, False, []
-        self.member = Member(MemberId(self.name, self.name), copy.deepcopy(kept),
-                             shape.timing, chance, self.clock.mono())
+        self.member = Member(
+            MemberId(self.name, self.name), copy.deepcopy(kept), shape.timing, chance, self.clock.mono()
+        )
         self.fleet = fleet_of(self.cluster.plan, shape.broken)
         self.restored = 0
         self.duty_manager = DutyManager(self.name, self.fleet, OwnershipTimeouts(600_000, 2_000_000))
@@ -185,7 +195,7 @@
         for do in inbox:
             do()
         member = self.member
-        if member.stale_reason:                    # an older copy of its own directory: it ends, and stays away
+        if member.stale_reason:  # an older copy of its own directory: it ends, and stays away
             self.crash()
             self.retired = True
             return
@@ -199,7 +209,7 @@
         self.disk.write(ready.records)
         life = self.life
         self.cluster.spite(self, ready.records)
-        if self.cluster.shape.broken == "eager":        # tells before its disk holds it
+        if self.cluster.shape.broken == "eager":  # tells before its disk holds it
             self._say(ready.envelopes)
         self.cluster.world.after(self.disk.wait(), lambda: self._still(life) and self._saved(ready.envelopes))
 
@@ -217,7 +227,9 @@
     def _say(self, sends: list) -> None:
         for to, message in sends:
             if node := self.cluster.nodes.get(to):
-                self.cluster.net.send(self.name, to, lambda node=node, message=message: node.hear(self.name, message))
+                self.cluster.net.send(
+                    self.name, to, lambda node=node, message=message: node.hear(self.name, message)
+                )
 
     def _out(self, sends: list) -> None:
         if self.cluster.shape.broken != "eager" or not self.disk._pending:
@@ -238,6 +250,7 @@
             if self._still(life):
                 self.step(lambda: self.member.tick(self.clock.mono()))
                 self._alarm()
+
         wait = self.clock.true_wait(self.member.next_tick_at)
         self.cluster.world.after(min(max(wait, 1_000), 20_000), ring)
 
@@ -269,10 +282,12 @@
 
     def propose(self, command: dict, then: Callable[[Any], None]) -> None:
         """At the leader that this member knows; what is lost on the way is not answered."""
+
         def here() -> None:
             index = self.member.propose(msgpack.packb(command))
             if index is not None:
                 self.waiting[index] = (self.member.term, then)
+
         leader = self.member.leader
         if leader == self.name:
             self.step(here)
@@ -285,6 +300,7 @@
 
             def back(answer: Any) -> None:
                 self.cluster.net.send(leader, self.name, lambda: self.up and self.step(lambda: then(answer)))
+
             self.cluster.net.send(self.name, leader, there)
 
     # ---- the owner's work ----
@@ -295,20 +311,33 @@
             if self._still(life):
                 self.step(self._duties)
                 self._work()
+
         self.cluster.world.after(30_000, again)
 
     def _duties(self) -> None:
         now, member = self.clock.mono(), self.member
         leading = member.role == Role.LEADER
-        alive = member.responsive_voters(600_000) if leading else [self.name, *([member.leader] if member.leader else [])]
+        alive = (
+            member.responsive_voters(600_000)
+            if leading
+            else [self.name, *([member.leader] if member.leader else [])]
+        )
         for command in self.duty_manager.due_commands(leading, alive, now):
-            key = str((command["do"], command["duty"], command.get("what"), command.get("epoch"), command.get("after")))
+            key = str(
+                (
+                    command["do"],
+                    command["duty"],
+                    command.get("what"),
+                    command.get("epoch"),
+                    command.get("after"),
+                )
+            )
             if key not in self.asked:
                 self.asked.add(key)
                 self.propose(command, lambda _: None)
                 self.cluster.world.after(200_000, lambda key=key: self.asked.discard(key))
         if self.cluster.shape.broken == "lease" and leading and now < member.lease_until:
-            self.cluster.blind(self)        # trusts its lease: acts without the log
+            self.cluster.blind(self)  # trusts its lease: acts without the log
         for effect in self.duty_manager.effects():
             self.cluster.carry_out(self, effect)
         for agent in self.cluster.agents:
@@ -347,8 +376,14 @@
         build, stage, phase, _ = self.face
         if self.open is None or self.cluster.world.chance.random() < 0.3:
             self.serial += 1
-            self.open = {"what": "vote", "agent": self.number, "serial": self.serial, "build": build, "stage": stage,
-                         "choice": self.cluster.world.chance.choice((1, 1, 1, 3))}
+            self.open = {
+                "what": "vote",
+                "agent": self.number,
+                "serial": self.serial,
+                "build": build,
+                "stage": stage,
+                "choice": self.cluster.world.chance.choice((1, 1, 1, 3)),
+            }
         ballot, nodes = dict(self.open), [n for n in self.cluster.nodes.values() if n.up]
         if nodes:
             node = self.cluster.world.chance.choice(nodes)
@@ -360,9 +395,19 @@
 
             def there() -> None:
                 if node.up:
-                    command = {**node.duty_manager.command(RELEASE, ballot), "at": node.duty_manager.log_time(node.clock.mono())}
-                    node.step(lambda: node.propose(command, lambda answer: self.cluster.net.send(
-                        node.name, self.name, lambda: answered(answer))))
+                    command = {
+                        **node.duty_manager.command(RELEASE, ballot),
+                        "at": node.duty_manager.log_time(node.clock.mono()),
+                    }
+                    node.step(
+                        lambda: node.propose(
+                            command,
+                            lambda answer: self.cluster.net.send(
+                                node.name, self.name, lambda: answered(answer)
+                            ),
+                        )
+                    )
+
             self.cluster.net.send(self.name, node.name, there)
 
 
@@ -370,8 +415,15 @@
     def __init__(self, seed: int, shape: Shape, node: type[Node] = Node) -> None:
         self.world, self.shape, self.history = World(seed), shape, History()
         self.net = Network(self.world)
-        self.plan = RolloutPlan(control="share", on_votes=2, back_votes=2, bake=200_000, grace=300_000, vote_life=1_500_000,
-                         needs=(StepsNeeded(2, "owners", 2),))
+        self.plan = RolloutPlan(
+            control="share",
+            on_votes=2,
+            back_votes=2,
+            bake=200_000,
+            grace=300_000,
+            vote_life=1_500_000,
+            needs=(StepsNeeded(2, "owners", 2),),
+        )
         names = [f"c{i}" for i in range(shape.members)]
         members = {name: MemberInfo(name, f"{name}:1", True) for name in names}
         self.agents = [Agent(self, f"agent{i}", i) for i in range(shape.agents)]
@@ -400,12 +452,28 @@
                 if not fenced or self.machines.accept(effect.token):
                     history.take("machines", effect.token, (RELEASE, face))
                     if face[2] == 0:
-                        self.net.send("machines", node.name, lambda: node.up and node.step(
-                            lambda: node.propose({**node.duty_manager.command(RELEASE, {
-                                "what": "running", "build": face[0], "stage": face[1]}), "at": node.duty_manager.log_time(node.clock.mono())},
-                                lambda _: None)))
+                        self.net.send(
+                            "machines",
+                            node.name,
+                            lambda: (
+                                node.up
+                                and node.step(
+                                    lambda: node.propose(
+                                        {
+                                            **node.duty_manager.command(
+                                                RELEASE,
+                                                {"what": "running", "build": face[0], "stage": face[1]},
+                                            ),
+                                            "at": node.duty_manager.log_time(node.clock.mono()),
+                                        },
+                                        lambda _: None,
+                                    )
+                                )
+                            ),
+                        )
                 else:
                     history.refused += 1
+
             self.net.send(node.name, "machines", arrive)
             return
 
@@ -417,11 +485,30 @@
                 self.target.record(effect.duty, body.name)
                 history.steps.append((body.number, body.name))
             if verdict in (StepVerdict.RUN, StepVerdict.DONE):
-                self.net.send("target", node.name, lambda: node.up and node.step(lambda: (
-                    node.duty_manager.on_effect_result(effect, True, node.clock.mono()), node.propose({**node.duty_manager.command(effect.duty, {
-                        "what": "done", "step": body.number}), "at": node.duty_manager.log_time(node.clock.mono())}, lambda _: None))))
+                self.net.send(
+                    "target",
+                    node.name,
+                    lambda: (
+                        node.up
+                        and node.step(
+                            lambda: (
+                                node.duty_manager.on_effect_result(effect, True, node.clock.mono()),
+                                node.propose(
+                                    {
+                                        **node.duty_manager.command(
+                                            effect.duty, {"what": "done", "step": body.number}
+                                        ),
+                                        "at": node.duty_manager.log_time(node.clock.mono()),
+                                    },
+                                    lambda _: None,
+                                ),
+                            )
+                        )
+                    ),
+                )
             else:
                 history.refused += 1
+
         node.duty_manager.on_effect_result(effect, False, node.clock.mono())
         self.net.send(node.name, "target", do)
 
@@ -437,19 +524,38 @@
         """Kills where it hurts most: while something is on its way to disk, and just behind a vote; back in a moment."""
         voted = any(isinstance(save, VoteRecord) and save.voted_for for save in saves)
         if self.spiteful and self.world.chance.random() < (0.3 if voted else 0.002):
+
             def blink() -> None:
                 if node.up:
                     self.history.counts["blink"] += 1
                     node.crash()
                     self.world.after(self.world.chance.randrange(1, 3_000), lambda: node.up or node.start())
+
             self.world.after(self.world.chance.randrange(1, 2_000 + 20_000 * voted), blink)
 
     def _trouble(self) -> None:
         world, chance = self.world, self.world.chance
         node = chance.choice(list(self.nodes.values()))
         places = [*self.nodes, *(a.name for a in self.agents), "machines", "target"]
-        kind = chance.choice(("kill", "kill", "stop", "stop", "part", "part", "one-way", "hold", "slow-disk", "slow-net", "loss",
-                              "jump", "all", "agent", "put-back"))
+        kind = chance.choice(
+            (
+                "kill",
+                "kill",
+                "stop",
+                "stop",
+                "part",
+                "part",
+                "one-way",
+                "hold",
+                "slow-disk",
+                "slow-net",
+                "loss",
+                "jump",
+                "all",
+                "agent",
+                "put-back",
+            )
+        )
         self.history.counts[kind] += 1
         span = chance.choice((50_000, 300_000, 1_000_000, 3_000_000))
         match kind:
@@ -463,6 +569,7 @@
                     if node._still(life):
                         node.paused = False
                         node._turn()
+
                 world.after(span, go_on)
             case "part" | "one-way":
                 side = set(chance.sample(places, chance.randint(1, len(places) // 2)))
@@ -484,7 +591,7 @@
             case "loss":
                 self.net.loss, self.net.double = 0.3, 0.3
                 world.after(span, self._clear)
-            case "jump":            # of the monotonic clock, as after a machine slept
+            case "jump":  # of the monotonic clock, as after a machine slept
                 node.clock.start += chance.choice((1_000_000, 60_000_000))
             case "all":
                 for each in self.nodes.values():
@@ -498,10 +605,16 @@
 
                 def put_back() -> None:
                     others = [n for n in self.nodes.values() if n is not node]
-                    if node.up and all(n.up and not n.paused for n in others) and not self.net.cut and not self.net.held:
+                    if (
+                        node.up
+                        and all(n.up and not n.paused for n in others)
+                        and not self.net.cut
+                        and not self.net.held
+                    ):
                         node.crash()
                         node.disk.kept = self._copy
                         world.after(span, lambda: node.up or node.start())
+
                 world.after(span, put_back)
 
     def _clear(self) -> None:
@@ -511,7 +624,9 @@
         world, shape = self.world, self.shape
         end = int(shape.seconds * 1e6)
         at = 1_000_000
-        while shape.faults and (at := at + int(world.chance.expovariate(shape.faults) * 1e6) + 1) < end - int(shape.quiet * 1e6):
+        while shape.faults and (at := at + int(world.chance.expovariate(shape.faults) * 1e6) + 1) < end - int(
+            shape.quiet * 1e6
+        ):
             world.at(at, self._trouble)
         for when in range(500_000, end, 40_000):
             world.at(when, lambda: world.chance.choice(self.agents).vote())
@@ -529,8 +644,14 @@
 
     def _watch(self) -> None:
         """Time without a member that leads and that a majority follows."""
-        led = any(n.up and not n.paused and n.member.role == Role.LEADER and n.member.commit_index and
-                  n.member.log.term_at(n.member.commit_index) == n.member.term for n in self.nodes.values())
+        led = any(
+            n.up
+            and not n.paused
+            and n.member.role == Role.LEADER
+            and n.member.commit_index
+            and n.member.log.term_at(n.member.commit_index) == n.member.term
+            for n in self.nodes.values()
+        )
         if not led and self._since is None:
             self._since = self.world.now
         elif led and self._since is not None:
@@ -540,8 +661,17 @@
     def _offer(self, build: int) -> None:
         if nodes := [n for n in self.nodes.values() if n.up]:
             node = self.world.chance.choice(nodes)
-            node.step(lambda: node.propose({**node.duty_manager.command(RELEASE, {"what": "offer", "build": build, "machines": 6}),
-                                            "at": node.duty_manager.log_time(node.clock.mono())}, lambda _: None))
+            node.step(
+                lambda: node.propose(
+                    {
+                        **node.duty_manager.command(
+                            RELEASE, {"what": "offer", "build": build, "machines": 6}
+                        ),
+                        "at": node.duty_manager.log_time(node.clock.mono()),
+                    },
+                    lambda _: None,
+                )
+            )
 
     def _heal(self) -> None:
         self.spiteful = False
--- a/cartweir/model/crowd.py
+++ b/cartweir/model/crowd.py
@@ -4,6 +4,7 @@
 
 An agent that got no answer within its time asks again, and what was done for it was wasted: that is how such a crowd feeds
 itself once its trigger has gone (Bronson et al., 'Metastable failures in distributed systems', HotOS 2021)."""
+
 from __future__ import annotations
 
 import random
@@ -23,6 +24,7 @@
 class Crowd:
     """agents come back at 0, and ask one of so many receivers. whole, changes, refusal: microseconds of its processor for one
     whole list, one list of changes, one refusal. patience: of an agent, for an answer. heeds: share that heeds advice."""
+
     agents: int = 440
     receivers: int = 3
     rate: float = 200.0
@@ -30,9 +32,9 @@
     changes: int = 400
     refusal: int = 150
     patience: int = 2_000_000
-    knows: float = 1.0              # share whose kept list is still known to the receiver
+    knows: float = 1.0  # share whose kept list is still known to the receiver
     heeds: float = 1.0
-    least: int = 100_000            # as [wire] reconnect_least, reconnect_most
+    least: int = 100_000  # as [wire] reconnect_least, reconnect_most
     most: int = 5_000_000
     seconds: float = 300.0
     off: tuple = ()
@@ -42,6 +44,7 @@
 class Back:
     """told: when each agent was, in order. asked: of one receiver that was asked most, when. wasted: microseconds of work for
     agents that had given up; busy: all work."""
+
     told: list[int] = field(default_factory=list)
     asked: list[list[int]] = field(default_factory=list)
     refused: int = 0
@@ -130,7 +133,7 @@
             self._again(advice if self.heeds and "advice" not in self.crowd.off else 0)
 
     def _again(self, advice: int) -> None:
-        self.call += 1                          # what comes for the last one comes too late
+        self.call += 1  # what comes for the last one comes too late
         self.at = (self.at + 1) % len(self.receivers) if not advice else self.at
         wait = self.crowd.least if "waits" in self.crowd.off else int(self.waits.again() * 1e6)
         self.world.after(max(wait, advice), self.ask)
--- a/cartweir/model/plots.py
+++ b/cartweir/model/plots.py
@@ -1,4 +1,5 @@
 """Lines over the size of a fleet, as a PNG. matplotlib is loaded here alone: whoever runs the program needs none."""
+
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
--- a/cartweir/model/sizes.py
+++ b/cartweir/model/sizes.py
@@ -1,5 +1,6 @@
 """Fleets of every size under the real decisions, in simulated time: the owner of the release is killed again and again; how long
 nobody is told by a new one, how long until all are, and what that costs in messages."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -12,11 +13,11 @@
 from .cluster import Cluster, Node, Shape
 
 
-
 @dataclass
 class Fleet:
     """word: microseconds of a controller's processor for one word to one agent. down: of a killed controller until it is back. admit:
     agents that a controller lets begin to listen a second."""
+
     controllers: int = 3
     agents: int = 440
     kills: int = 30
@@ -35,12 +36,13 @@
 class Found:
     """first, last: from each kill until the first and the last agent followed a word of the next owner, whole microseconds. members:
     messages among controllers, in a second without faults; words: to agents, in all."""
+
     first: list[int] = field(default_factory=list)
     last: list[int] = field(default_factory=list)
     members: float = 0.0
     words: int = 0
     refused: int = 0
-    unfinished: int = 0             # kills after which not all were told before the next
+    unfinished: int = 0  # kills after which not all were told before the next
 
 
 def middle(values: list[int]) -> int:
@@ -59,7 +61,7 @@
         nodes = list(self.play.nodes.values())
         node = nodes[self.at % len(nodes)]
         wait = node.let_in(self) if node.up else None
-        if wait is not None:                # refused, or nobody there: elsewhere, and not with all others
+        if wait is not None:  # refused, or nobody there: elsewhere, and not with all others
             self.at += 1
             self.play.world.after(max(wait, self.play.world.chance.randrange(50_000, 100_000)), self.come)
 
@@ -94,6 +96,7 @@
             self.listeners.append(agent)
             if self.known.epoch:
                 self._word(agent)
+
         self.cluster.world.after(verdict.wait, begin)
         return None
 
@@ -110,15 +113,24 @@
         world, token = self.cluster.world, self.known
         self.free_at = max(self.free_at, world.now) + self.cluster.fleet.word
         self.cluster.found.words += 1
-        world.at(self.free_at, lambda: self.up and self.cluster.net.send(self.name, agent.name, lambda: agent.told(token)))
+        world.at(
+            self.free_at,
+            lambda: self.up and self.cluster.net.send(self.name, agent.name, lambda: agent.told(token)),
+        )
 
 
 class Play(Cluster):
     def __init__(self, seed: int, fleet: Fleet) -> None:
         self.fleet, self.found = fleet, Found()
-        super().__init__(seed, Shape(members=fleet.controllers, agents=0, faults=0, timing=fleet.timing), node=_Teller)
+        super().__init__(
+            seed, Shape(members=fleet.controllers, agents=0, faults=0, timing=fleet.timing), node=_Teller
+        )
         self.listeners = [_Listener(self, number) for number in range(fleet.agents)]
-        self.killed_at, self.before, self.behind = 0, 0, set()  # when, the epoch then, agents that have not followed a later one
+        self.killed_at, self.before, self.behind = (
+            0,
+            0,
+            set(),
+        )  # when, the epoch then, agents that have not followed a later one
 
     def followed(self, agent: _Listener, token: FencingToken) -> None:
         if self.killed_at and token.epoch > self.before and agent.name in self.behind:
--- a/cartweir/model/world.py
+++ b/cartweir/model/world.py
@@ -1,5 +1,6 @@
 """A world of simulated time: one heap of events, clocks that run off, a network that loses, holds, doubles and cuts, disks
 that forget what was not synced. One seed replays all."""
+
 from __future__ import annotations
 
 import heapq
@@ -13,7 +14,7 @@
 class World:
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
-        self.now = 0                        # microseconds, true time
+        self.now = 0  # microseconds, true time
         self.events = 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
 
@@ -67,7 +68,7 @@
             self._pending = []
 
     def crash(self) -> None:
-        for save in self._pending[:self.world.chance.randint(0, len(self._pending))] if self.honest else ():
+        for save in self._pending[: self.world.chance.randint(0, len(self._pending))] if self.honest else ():
             self.kept.add(save)
         self._pending = []
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -1,5 +1,6 @@
 """Coming back, between processes: agents killed at once, registries that lose their list, files that are lost, cut or in use,
 controllers that are crowded. What is judged is what the other side saw."""
+
 from __future__ import annotations
 
 import asyncio
@@ -13,6 +14,9 @@
 from dataclasses import replace
 
 import pytest
+from peers import ISSUE, ROOT, VIEW, Appliance, Client, Process, answer, settings
+from test_calls import sockets
+from test_processes import Offering, end, world
 
 from cartweir.agent.keep import BOOT, Keep
 from cartweir.faults.comeback import Scene, play
@@ -23,9 +27,6 @@
 from cartweir.standin.cut import Cut
 from cartweir.standin.registry import Registry
 from cartweir.wire.calls import CallError, Channel, Service, come_back
-from peers import ISSUE, ROOT, VIEW, Appliance, Client, Process, answer, settings
-from test_calls import sockets
-from test_processes import Offering, end, world
 
 S = 1_000_000
 
@@ -51,11 +52,15 @@
 
 
 # ---- many at once ----
-@pytest.mark.parametrize("scene", [
-    Scene(share=1.0, state="kept", trial="good", agents=3, light=20, before=5.0, after=9.0),
-    Scene(share=1.0, state="lost", registry="empty", agents=3, light=20, before=4.0, after=10.0),
-    Scene(share=0.7, state="old", registry="away", agents=3, light=0, before=4.0, after=9.0),
-], ids=["all, a build on trial", "all, files and list lost", "seven in ten, registry away"])
+@pytest.mark.parametrize(
+    "scene",
+    [
+        Scene(share=1.0, state="kept", trial="good", agents=3, light=20, before=5.0, after=9.0),
+        Scene(share=1.0, state="lost", registry="empty", agents=3, light=20, before=4.0, after=10.0),
+        Scene(share=0.7, state="old", registry="away", agents=3, light=0, before=4.0, after=9.0),
+    ],
+    ids=["all, a build on trial", "all, files and list lost", "seven in ten, registry away"],
+)
 def test_killed_at_once_they_come_back_within_bounds(tmp_path, scene):
     outcome = play(tmp_path, 3, replace(scene, rate=40.0), lambda line: None)
     assert not outcome.breaches and outcome.fell == 0
@@ -80,7 +85,9 @@
     scene = Scene(share=1.0, state="lost", zone=True, agents=3, before=4.0, after=11.0, rate=60.0)
     outcome = play(tmp_path, 11, scene, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
-    assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, outcome.text()
+    assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, (
+        outcome.text()
+    )
 
 
 def test_a_rolling_restart_that_is_faster_than_agents_warm_up(tmp_path):
@@ -88,7 +95,9 @@
     scene = Scene(share=1.0, rolling=0.3, agents=4, light=0, before=4.0, after=10.0, rate=40.0)
     outcome = play(tmp_path, 12, scene, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
-    assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, outcome.text()
+    assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, (
+        outcome.text()
+    )
     assert outcome.lists[0] <= 2 * scene.agents, outcome.text()
 
 
@@ -103,15 +112,22 @@
 
     def entry(number, state=pb.READY):
         return pb.Entry(appliance=f"a{number}", address=where[number], build=1, run=1, state=state)
+
     registry.put(entry(0))
-    ages = [registry.state()]                       # two changes behind: a0 alone
+    ages = [registry.state()]  # two changes behind: a0 alone
     registry.put(entry(1))
-    ages.append(registry.state())                   # one behind: a0 and a1
+    ages.append(registry.state())  # one behind: a0 and a1
     files = []
     for me in range(3):
         (folder := tmp_path / f"{me}").mkdir()
-        files.append(settings(folder, address, "127.0.0.1:9", agent=f"me = {me}\nagents = 3\nlist_file = {folder}/kept.list"))
-    seen = await Process.start(files[1])            # has seen one behind the newest, and is told by the oldest copy next
+        files.append(
+            settings(
+                folder, address, "127.0.0.1:9", agent=f"me = {me}\nagents = 3\nlist_file = {folder}/kept.list"
+            )
+        )
+    seen = await Process.start(
+        files[1]
+    )  # has seen one behind the newest, and is told by the oldest copy next
     await until(lambda: seen.of("list") and (tmp_path / "1" / "kept.list").exists())
     seen.process.kill()
     await seen.process.wait()
@@ -120,15 +136,15 @@
     newest = registry.state()
     registry.views = {1: ages[0], 2: ages[1]}
     agents = [await Process.start(file) for file in files]
-    assert (await agents[0].until("list"))["ready"] == 2            # a1, a2
+    assert (await agents[0].until("list"))["ready"] == 2  # a1, a2
     assert (await agents[1].until("list_late"))["version"] == ages[0][1] and not agents[1].of("list")
-    assert (await agents[2].until("list"))["ready"] == 2            # a0, a1: it can't know better yet
+    assert (await agents[2].until("list"))["ready"] == 2  # a0, a1: it can't know better yet
     for agent in agents:
         await served(agent.address, 6)
     before = len(appliances[0].requests)
-    assert await agents[0].stop() == 0              # what goes to a0 came from the two others
+    assert await agents[0].stop() == 0  # what goes to a0 came from the two others
     registry.views = {}
-    registry.go_back(newest)                        # all copies have caught up; watches break
+    registry.go_back(newest)  # all copies have caught up; watches break
     for agent in agents[1:]:
         await until(lambda: agent.of("list") and agent.of("list")[-1]["version"] == newest[1])
         await served(agent.address, 6)
@@ -144,22 +160,37 @@
     two builds are released; then its old connections break and it comes back. Its files are of before. All that it used is gone: it
     can't tell that from a registry's loss, holds on to it for its time, and no call is lost by that."""
     said = []
-    registry, old, new = Registry(), [Appliance(answer), Appliance(answer)], [Appliance(answer), Appliance(answer)]
+    registry, old, new = (
+        Registry(),
+        [Appliance(answer), Appliance(answer)],
+        [Appliance(answer), Appliance(answer)],
+    )
     conveyor = Offering(lambda count, request: None)
     conveyor.word = pb.Stage(build=1, number=1, phase=pb.RELEASED, cap=1.0, epoch=3, index=9)
-    cut = Cut([("registry", "127.0.0.1:0", registry.listen_on("127.0.0.1:0")),
-               ("conveyor", "127.0.0.1:0", conveyor.listen_on("127.0.0.1:0"))], lambda event, **facts: said.append(event))
+    cut = Cut(
+        [
+            ("registry", "127.0.0.1:0", registry.listen_on("127.0.0.1:0")),
+            ("conveyor", "127.0.0.1:0", conveyor.listen_on("127.0.0.1:0")),
+        ],
+        lambda event, **facts: said.append(event),
+    )
     ways = await cut.start("127.0.0.1:0")
     for number, appliance in enumerate(old):
         registry.put(pb.Entry(appliance=f"old{number}", address=await appliance.listen(), build=1, run=1))
-    process = await Process.start(settings(tmp_path, ways["registry"] + "\nhold_time = 2s", ways["conveyor"], agent=(
-        f"list_file = {tmp_path}/kept.list\nstage_file = {tmp_path}/kept.stage")))
+    process = await Process.start(
+        settings(
+            tmp_path,
+            ways["registry"] + "\nhold_time = 2s",
+            ways["conveyor"],
+            agent=(f"list_file = {tmp_path}/kept.list\nstage_file = {tmp_path}/kept.stage"),
+        )
+    )
     await process.until("list")
     await process.until("stage")
     cut.command(["all", "mute"])
     for number, appliance in enumerate(new):
         registry.put(pb.Entry(appliance=f"new{number}", address=await appliance.listen(), build=3, run=1))
-    for number in range(300):                       # others come and go meanwhile
+    for number in range(300):  # others come and go meanwhile
         registry.put(pb.Entry(appliance=f"passing{number}", address="127.0.0.1:9", build=2, run=1))
         registry.put(pb.Entry(appliance=f"passing{number}", state=pb.GONE))
     for number in range(2):
@@ -172,11 +203,17 @@
         appliance.close()
     cut.command(["all", "reset"])
     cut.command(["all", "pass"])
-    await until(lambda: process.of("list")[-1]["version"] == registry.version and process.of("followed")[-1]["epoch"] == 7)
-    assert registry.counts["whole"] == 2            # what it holds is older than what is remembered
+    await until(
+        lambda: (
+            process.of("list")[-1]["version"] == registry.version and process.of("followed")[-1]["epoch"] == 7
+        )
+    )
+    assert registry.counts["whole"] == 2  # what it holds is older than what is remembered
     await served(process.address, 8)
     assert [len(appliance.requests) for appliance in old] == before and sum(len(a.requests) for a in new) == 8
-    assert (await process.until("list_held"))["kept"] == 2 and (await process.until("list_let_go"))["appliances"] == 2
+    assert (await process.until("list_held"))["kept"] == 2 and (await process.until("list_let_go"))[
+        "appliances"
+    ] == 2
     # a word of before, out of the network at last, changes nothing, nor does it after a restart
     conveyor.word = pb.Stage(build=2, number=0, phase=pb.ON_TRIAL, cap=0.2, epoch=5, index=20)
     cut.command(["conveyor", "reset"])
@@ -203,7 +240,14 @@
     assert held["kept"] == (2 if part else 3)
     assert (await call(process.address, ISSUE)).status == "0"
     # one enters itself again: it stays; the others are let go after their time
-    registry.put(pb.Entry(appliance="a0", address="127.0.0.1:%d" % appliances[0].server.sockets[0].getsockname()[1], build=1, run=1))
+    registry.put(
+        pb.Entry(
+            appliance="a0",
+            address="127.0.0.1:%d" % appliances[0].server.sockets[0].getsockname()[1],
+            build=1,
+            run=1,
+        )
+    )
     assert (await process.until("list_let_go"))["appliances"] == 2
     before = [len(a.requests) for a in appliances]
     await served(process.address, 5)
@@ -232,12 +276,16 @@
     copy = registry.state()
     late = Appliance(answer)
     registry.put(pb.Entry(appliance="late", address=await late.listen(), build=1, run=1))
-    await until(lambda: process.of("list")[-1]["ready"] == 2 and b"late" in bytes.fromhex(
-        "".join(json.loads(kept.read_text())["entries"])))
+    await until(
+        lambda: (
+            process.of("list")[-1]["ready"] == 2
+            and b"late" in bytes.fromhex("".join(json.loads(kept.read_text())["entries"]))
+        )
+    )
     registry.go_back(copy)
     assert (await process.until("list_late"))["version"] == 1
     await served(process.address, 8)
-    assert late.requests                        # it is used on
+    assert late.requests  # it is used on
     assert await process.stop() == 0
 
     again = await Process.start(tmp_path / "agent.ini")
@@ -259,7 +307,7 @@
     registry.silent = True
     process = await Process.start(tmp_path / "agent.ini")
     assert (await call(process.address, ISSUE)).status == "0"
-    process.process.send_signal(signal.SIGTERM)             # while it comes back
+    process.process.send_signal(signal.SIGTERM)  # while it comes back
     assert await asyncio.wait_for(process.process.wait(), 5) == 0 and not process.of("list")
     end(registry, appliances)
 
@@ -284,7 +332,12 @@
 
 # ---- an agent's own files ----
 def one_way(folder, registry, conveyor, cores=1, agent=""):
-    file = settings(folder, registry, conveyor, agent=f"cores = {cores}\nfacts_file = {folder}/facts\nstage_file = {folder}/stage\n{agent}")
+    file = settings(
+        folder,
+        registry,
+        conveyor,
+        agent=f"cores = {cores}\nfacts_file = {folder}/facts\nstage_file = {folder}/stage\n{agent}",
+    )
     file.write_text(file.read_text().replace("caps = 0.2, 1", "caps = 0.2, 1\none_way = yes\nfree = 3"))
     return file
 
@@ -292,11 +345,18 @@
 async def bound(folder, cores=1, ways=lambda name, address: address, agent=""):
     """An agent with a build on trial, at which one key is bound; and the other sides."""
     registry, appliances = Registry(), [Appliance(answer), Appliance(answer), Appliance(answer)]
-    conveyor = Offering(lambda count, request: pb.Verdict(answer=pb.Verdict.OK, stage=conveyor.word).SerializeToString())
+    conveyor = Offering(
+        lambda count, request: pb.Verdict(answer=pb.Verdict.OK, stage=conveyor.word).SerializeToString()
+    )
     conveyor.word = pb.Stage(build=2, number=0, phase=pb.ON_TRIAL, cap=0.2, epoch=3, index=9)
-    address, where = ways("registry", registry.listen_on("127.0.0.1:0")), ways("conveyor", conveyor.listen_on("127.0.0.1:0"))
+    address, where = (
+        ways("registry", registry.listen_on("127.0.0.1:0")),
+        ways("conveyor", conveyor.listen_on("127.0.0.1:0")),
+    )
     for number, appliance in enumerate(appliances):
-        registry.put(pb.Entry(appliance=f"a{number}", address=await appliance.listen(), build=1 + (number == 2), run=1))
+        registry.put(
+            pb.Entry(appliance=f"a{number}", address=await appliance.listen(), build=1 + (number == 2), run=1)
+        )
     process = await Process.start(one_way(folder, address, where, cores, agent))
     await process.until("list")
     await process.until("stage")
@@ -316,7 +376,7 @@
 @sockets
 async def test_a_bound_key_stays_bound_though_the_agent_is_killed(tmp_path, cores):
     registry, appliances, conveyor, process, key = await bound(tmp_path, cores)
-    if cores > 1:                                   # first the part that decides, whose next life goes on with the same file
+    if cores > 1:  # first the part that decides, whose next life goes on with the same file
         os.kill(process.of("started")[0]["parts"]["0"], signal.SIGKILL)
         await process.until("restored")
     process.process.kill()
@@ -328,15 +388,20 @@
     await process.until("stage")
     for _ in range(4):
         got = await call(process.address, ISSUE, cartweir_key=key, timeout="400m")
-        assert got.status == "0" or got.tail["cartweir-answer"] == "throttled"      # no room is no reason to go back
+        assert (
+            got.status == "0" or got.tail["cartweir-answer"] == "throttled"
+        )  # no room is no reason to go back
     assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
-    assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"       # others are served
+    assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"  # others are served
     assert await process.stop() == 0
     conveyor.shut()
     end(registry, appliances)
 
 
-@pytest.mark.parametrize("loss, cores", [("gone", 1), ("gone", 2), ("cut", 1), ("garbled", 1), ("another's", 1), ("an older copy", 1)])
+@pytest.mark.parametrize(
+    "loss, cores",
+    [("gone", 1), ("gone", 2), ("cut", 1), ("garbled", 1), ("another's", 1), ("an older copy", 1)],
+)
 @sockets
 async def test_without_sound_facts_no_key_goes_back(tmp_path, loss, cores):
     registry, appliances, conveyor, process, key = await bound(tmp_path, cores)
@@ -363,7 +428,7 @@
     for _ in range(3):
         await call(process.address, ISSUE, cartweir_key=key, timeout="300m")
     assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
-    assert (await call(process.address, ISSUE)).status == "0"                           # what has no key is served
+    assert (await call(process.address, ISSUE)).status == "0"  # what has no key is served
     # nor in the life after that one, whose file is sound and tells nothing of what was lost before it
     process.process.kill()
     await process.process.wait()
@@ -392,13 +457,19 @@
 async def test_restarted_with_registry_and_controllers_away_it_serves_and_sends_no_key_back(tmp_path):
     """Twice, with a build on trial, a key that it has answered, and the earlier build in the list that was kept."""
     (registry_port, conveyor_port), said = free_ports(2), []
-    cut = Cut([("registry", registry_port, ""), ("conveyor", conveyor_port, "")], lambda event, **facts: said.append(event))
+    cut = Cut(
+        [("registry", registry_port, ""), ("conveyor", conveyor_port, "")],
+        lambda event, **facts: said.append(event),
+    )
 
     def through(name, address):
         cut.routes[name].target = address
         return cut.routes[name].listen_at
+
     await cut.start("127.0.0.1:0")
-    registry, appliances, conveyor, process, key = await bound(tmp_path, ways=through, agent=f"list_file = {tmp_path}/list")
+    registry, appliances, conveyor, process, key = await bound(
+        tmp_path, ways=through, agent=f"list_file = {tmp_path}/list"
+    )
     await until((tmp_path / "list").exists)
     cut.command(["all", "refuse"])
     cut.command(["all", "reset"])
@@ -426,8 +497,14 @@
 async def test_two_agents_on_one_file(tmp_path):
     registry, appliances, conveyor, process, _ = await bound(tmp_path)
     done = await asyncio.to_thread(
-        subprocess.run, [sys.executable, "-m", "cartweir", "agent", "--settings", str(tmp_path / "agent.ini")], cwd=ROOT, text=True,
-        capture_output=True, timeout=20, env={**os.environ, "PYTHONPATH": str(ROOT)})
+        subprocess.run,
+        [sys.executable, "-m", "cartweir", "agent", "--settings", str(tmp_path / "agent.ini")],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=20,
+        env={**os.environ, "PYTHONPATH": str(ROOT)},
+    )
     assert done.returncode == 1 and "Traceback" not in done.stderr
     assert "is in use by another process" in done.stderr and "is due" in done.stderr
     assert await process.stop() == 0
@@ -480,11 +557,22 @@
     told = 0
     (tmp_path / "facts").write_bytes(encode_journal(JournalHeader("me", boot(), FencingToken(1, 1)), []))
     for kill in range(8):
-        process = subprocess.Popen([sys.executable, "-c", BIND, str(tmp_path / "facts")], cwd=ROOT, stdout=subprocess.PIPE, text=True)
+        process = subprocess.Popen(
+            [sys.executable, "-c", BIND, str(tmp_path / "facts")], cwd=ROOT, stdout=subprocess.PIPE, text=True
+        )
         for _ in range(23 + 31 * kill):
             told = int(process.stdout.readline())
         process.kill()
-        told = max([told, *(int(line) for line in process.stdout.read().splitlines(keepends=True) if line.endswith("\n"))])
+        told = max(
+            [
+                told,
+                *(
+                    int(line)
+                    for line in process.stdout.read().splitlines(keepends=True)
+                    if line.endswith("\n")
+                ),
+            ]
+        )
         process.wait()
         found = read_journal((tmp_path / "facts").read_bytes(), "me", boot(), FencingToken(1, 1))
         assert found.forgot is None and {f"k{n}" for n in range(told)} <= found.bound.keys()
@@ -509,14 +597,28 @@
 """
 
 
-@pytest.mark.parametrize("how, size, knows", [("from the start", 25, False), ("mended", 600, True),
-                                             *(("meanwhile", size, False) for size in range(600, 611))])
+@pytest.mark.parametrize(
+    "how, size, knows",
+    [
+        ("from the start", 25, False),
+        ("mended", 600, True),
+        *(("meanwhile", size, False) for size in range(600, 611)),
+    ],
+)
 def test_a_full_disk_ends_nothing_and_the_next_life_knows_what_is_missing(tmp_path, how, size, knows):
     """Keys that could not be kept are missing from the file; that later ones could must not make it look whole."""
     path = tmp_path / "facts"
     path.write_bytes(encode_journal(JournalHeader("me", boot(), FencingToken(1, 1)), [("before", 2)]))
-    done = subprocess.run([sys.executable, "-c", FULL, str(path), str(size), how], cwd=ROOT, capture_output=True, text=True, timeout=20)
-    assert json.loads(done.stdout) == ["facts", "facts_bad", *(["facts_kept_again"] if knows else [])], done.stderr
+    done = subprocess.run(
+        [sys.executable, "-c", FULL, str(path), str(size), how],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+    )
+    assert json.loads(done.stdout) == ["facts", "facts_bad", *(["facts_kept_again"] if knows else [])], (
+        done.stderr
+    )
     found = read_journal(path.read_bytes(), "me", boot(), FencingToken(1, 2 if knows else 1))
     assert (found.forgot is None) == knows
     if knows:
@@ -536,7 +638,11 @@
         self.asked.append(time.monotonic())
         if self.refuses:
             raise come_back("too many", self.advice)
-        request.send(pb.Word(stage=pb.Stage(build=1, number=1, phase=pb.RELEASED, cap=1.0, epoch=1, index=1)).SerializeToString())
+        request.send(
+            pb.Word(
+                stage=pb.Stage(build=1, number=1, phase=pb.RELEASED, cap=1.0, epoch=1, index=1)
+            ).SerializeToString()
+        )
 
 
 @functools.partial(sockets, wait=60)
@@ -551,7 +657,11 @@
     for me in range(5):
         (folder := tmp_path / f"{me}").mkdir()
         file = settings(folder, listed, address, agent=f"me = {me}\nagents = 5")
-        file.write_text(file.read_text().replace("reconnect_least = 20ms\nreconnect_most = 50ms\n", "").replace("seed = 1", f"seed = {me}"))
+        file.write_text(
+            file.read_text()
+            .replace("reconnect_least = 20ms\nreconnect_most = 50ms\n", "")
+            .replace("seed = 1", f"seed = {me}")
+        )
         agents.append(await Process.start(file))
         await agents[-1].until("list")
     began, served = time.monotonic(), 0
@@ -561,7 +671,9 @@
             served += 1
         await asyncio.sleep(0.2)
     late = [at for at in conveyor.asked if at > began + 15]
-    assert served > 250 and 0 < len(late) <= 5 * 15 / 2.5 + 5       # each at most once in 2.5 s, the longest wait's half
+    assert (
+        served > 250 and 0 < len(late) <= 5 * 15 / 2.5 + 5
+    )  # each at most once in 2.5 s, the longest wait's half
     assert max(sum(at <= other < at + 1 for other in late) for at in late) <= 5
     conveyor.refuses = False
     await asyncio.gather(*(agent.until("followed") for agent in agents))
@@ -578,7 +690,7 @@
     registry, appliances, process = await world(tmp_path, answer, conveyor=conveyor.listen_on("127.0.0.1:0"))
     await until(lambda: len(conveyor.asked) >= 4)
     apart = [b - a for a, b in zip(conveyor.asked, conveyor.asked[1:])]
-    assert min(apart) >= 0.69                   # the settings' own waits are 20 to 50 ms
+    assert min(apart) >= 0.69  # the settings' own waits are 20 to 50 ms
     assert (await call(process.address, ISSUE)).status == "0"
     assert await process.stop() == 0
     conveyor.shut()
@@ -588,6 +700,7 @@
 def test_a_crowd_that_heeds_nothing_keeps_no_controller_from_its_duty(tmp_path):
     """150 listeners that come again at once, whatever they are told, while a build is released: the owner stays, the release
     goes on, and those who are let in are no more a second than the settings say."""
+
     async def run():
         rig = Rig(tmp_path / "rig", Scale(agents=6, admit=30))
         await rig.start()
@@ -599,17 +712,22 @@
                 channel = Channel(address, 300_000)
                 while not stop.is_set():
                     try:
-                        async for _ in channel.stream("/cartweir.v1.Conveyor/News", pb.Hello(agent=2000 + number).SerializeToString()):
+                        async for _ in channel.stream(
+                            "/cartweir.v1.Conveyor/News", pb.Hello(agent=2000 + number).SerializeToString()
+                        ):
                             break
                     except CallError:
                         pass
                     await asyncio.sleep(0.05)
                 channel.close()
+
             for number in range(150):
                 crowd.append(asyncio.ensure_future(nag(number, rig.listen[rig.names[number % 3]])))
             began = time.monotonic()
             assert await rig.offer(2)
-            status = await rig.until(lambda s: s["release"]["build"] == 2 and s["release"]["phase"] == "RELEASED", 25)
+            status = await rig.until(
+                lambda s: s["release"]["build"] == 2 and s["release"]["phase"] == "RELEASED", 25
+            )
             took = time.monotonic() - began
             assert status["duties"]["release"] | {"index": 0} == {"owner": owner, "epoch": epoch, "index": 0}
             agents = [(await rig.ask(name, ask="status"))["agents"] for name in rig.names]
@@ -620,4 +738,5 @@
         finally:
             verdict = await rig.end()
         assert not verdict.breaches, verdict.text()
+
     asyncio.run(asyncio.wait_for(run(), 60))
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -1,5 +1,6 @@
 """Controllers, receivers and agents as processes, with faults between them; each verdict is what receivers saw, held beside what
 a majority has on disk."""
+
 from __future__ import annotations
 
 import asyncio
@@ -25,6 +26,7 @@
 
 def rigged(seconds=60, **scale):
     """A test on a rig that has started and has an owner; the verdict at its end must have no breach."""
+
     def wrap(test):
         def run(tmp_path):
             async def play():
@@ -36,14 +38,23 @@
                     verdict = await rig.end()
                 assert not verdict.breaches, verdict.text()
                 return verdict
+
             asyncio.run(play())
+
         run.__name__ = getattr(test, "__name__", "run")
         return run
+
     return wrap
 
 
 def cartweir(*words):
-    return subprocess.run([sys.executable, "-m", "cartweir", *map(str, words)], cwd=ROOT, capture_output=True, text=True, timeout=30)
+    return subprocess.run(
+        [sys.executable, "-m", "cartweir", *map(str, words)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
 
 
 def other_than(rig, *names):
@@ -61,8 +72,10 @@
 async def until_late(rig, seconds=15):
     """Until a receiver has refused an effect."""
     for _ in range(int(seconds / 0.05)):
-        if rig.record.exists() and any('"taken": false' in line or '"how": "late"' in line
-                                       for line in rig.record.read_text().splitlines()):
+        if rig.record.exists() and any(
+            '"taken": false' in line or '"how": "late"' in line
+            for line in rig.record.read_text().splitlines()
+        ):
             return
         await asyncio.sleep(0.05)
     raise TimeoutError("no effect was refused")
@@ -105,7 +118,7 @@
 @rigged()
 async def test_the_owner_of_steps_is_killed_with_a_step_on_its_way(rig, owner):
     steps_owner = await rig.owner("steps owners")
-    rig.hurt(f"{steps_owner}-steps", "hold", "back")        # the step runs, its answer is lost
+    rig.hurt(f"{steps_owner}-steps", "hold", "back")  # the step runs, its answer is lost
     assert await rig.offer(2)
     await rig.until(lambda s: s["steps"]["owners"]["how"] == "begun")
     while '"kind": "step"' not in rig.record.read_text():
@@ -146,13 +159,15 @@
     await rig.until(lambda s: s["name"] == owner and not s["led"])
     status = await rig.ask(owner, ask="status")
     assert status["release"]["build"] == 1 and status["role"] != "leader"
-    await rig.until(released(2))                # by the agents that have moved on to the other side
+    await rig.until(released(2))  # by the agents that have moved on to the other side
     rig.apart(owner, "pass")
     await rig.until(lambda s: s["name"] == owner and released(2)(s))
 
 
 async def _elsewhere(rig, owner):
-    return await rig.until(lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None))
+    return await rig.until(
+        lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None)
+    )
 
 
 @rigged()
@@ -172,8 +187,12 @@
 @rigged()
 async def test_an_election_sends_no_agent_away(rig, owner):
     """Guards the next leader against the whole fleet: only those that listened at the one that died come again."""
+
     async def agents(what):
-        return {name: (await rig.ask(name, ask="status"))["agents"][what] for name in rig.names if rig.alive(name)}
+        return {
+            name: (await rig.ask(name, ask="status"))["agents"][what] for name in rig.names if rig.alive(name)
+        }
+
     while sum((await agents("listening")).values()) < 12:
         await asyncio.sleep(0.05)
     status = await rig.until(lambda s: s["role"] == "leader")
@@ -199,12 +218,26 @@
     mark = done.stdout.split("--mark ")[1].split()[0]
     await rig.run(lost)
     status = await rig.until(lambda s: s["name"] == lost)
-    assert status["members"] == {} and status["release"]["build"] == 1     # what it hears does not count yet
-    done = await asyncio.to_thread(cartweir, "controller", "admit", lost, "--mark", mark, "--address", rig.listen[lost],
-                                   "--at", rig.listen[owner])
+    assert status["members"] == {} and status["release"]["build"] == 1  # what it hears does not count yet
+    done = await asyncio.to_thread(
+        cartweir,
+        "controller",
+        "admit",
+        lost,
+        "--mark",
+        mark,
+        "--address",
+        rig.listen[lost],
+        "--at",
+        rig.listen[owner],
+    )
     assert done.returncode == 0, done.stderr
-    await rig.until(lambda s: s["name"] == lost and s["members"].get(lost, {}).get("votes") and stage_is(2, 1)(s))
-    await rig.kill(other_than(rig, lost, await rig.owner()) if await rig.owner() == lost else await rig.owner())
+    await rig.until(
+        lambda s: s["name"] == lost and s["members"].get(lost, {}).get("votes") and stage_is(2, 1)(s)
+    )
+    await rig.kill(
+        other_than(rig, lost, await rig.owner()) if await rig.owner() == lost else await rig.owner()
+    )
     await rig.until(released(2))
 
 
@@ -214,13 +247,15 @@
     shutil.copytree(rig.folder / f"dir-{copied}", rig.folder / "dir-copy")
     (address,) = free_ports(1)
     text = (rig.folder / f"{copied}.ini").read_text()
-    text = text.replace(f"listen = {rig.listen[copied]}", f"listen = {address}").replace(f"dir-{copied}", "dir-copy")
+    text = text.replace(f"listen = {rig.listen[copied]}", f"listen = {address}").replace(
+        f"dir-{copied}", "dir-copy"
+    )
     (rig.folder / "copy.ini").write_text(text)
     rig.listen["copy"] = address
     await rig.run("copy")
     while (status := await rig.ask("copy", ask="status")) is None:
         await asyncio.sleep(0.05)
-    rig.signal(copied, signal.SIGSTOP)          # the copy alone speaks under that name now
+    rig.signal(copied, signal.SIGSTOP)  # the copy alone speaks under that name now
     assert await rig.offer(2)
     await rig.until(released(2))
     rig.signal(copied, signal.SIGCONT)
@@ -253,9 +288,11 @@
 
 @rigged()
 async def test_a_disk_that_takes_no_more_ends_the_owner_and_loses_nothing(rig, owner):
-    size = (rig.folder / f"{owner}.log").stat().st_size + 3000          # which its own words must not reach before
+    size = (rig.folder / f"{owner}.log").stat().st_size + 3000  # which its own words must not reach before
     resource.prlimit(rig.processes[owner].pid, resource.RLIMIT_FSIZE, (size, size))
-    rig.hurt(f"{owner}-machines", "hold")       # the stage stays where it is, and what agents vote on fills the log
+    rig.hurt(
+        f"{owner}-machines", "hold"
+    )  # the stage stays where it is, and what agents vote on fills the log
     assert await rig.offer(2)
     assert await rig.processes[owner].wait() == 1
     last = (rig.folder / f"{owner}.log").read_text().splitlines()[-1]
@@ -280,8 +317,10 @@
 @rigged(election=700)
 async def test_a_peer_whose_disk_is_slow_holds_nobody_up(rig, owner):
     slow = other_than(rig, owner)
-    epoch = (await rig.until(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"]))["duties"]["release"]["epoch"]
-    rig.disk(slow, slow=0.25)               # below the election time-out: it stays a member, and says each word late
+    epoch = (await rig.until(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"]))["duties"][
+        "release"
+    ]["epoch"]
+    rig.disk(slow, slow=0.25)  # below the election time-out: it stays a member, and says each word late
     assert await rig.offer(2)
     status = await rig.until(released(2))
     assert (status["duties"]["release"]["owner"], status["duties"]["release"]["epoch"]) == (owner, epoch)
@@ -292,13 +331,14 @@
 @pytest.mark.parametrize("how", ["SIGKILL", "SIGSTOP"])
 def test_an_owner_is_struck_with_half_of_a_write_on_its_disk(tmp_path, how):
     """What was told of stays, the rest is cut off or ended, and whoever was told by others is told nothing else."""
+
     @rigged()
     async def test(rig, owner):
         assert await rig.offer(2)
         await rig.until(stage_is(2, 0))
         log = rig.folder / f"dir-{owner}" / "log"
         rig.disk(owner, tear=how)
-        while (rig.folder / f"{owner}.disk").exists():              # taken away as it is torn
+        while (rig.folder / f"{owner}.disk").exists():  # taken away as it is torn
             await asyncio.sleep(0.01)
         if how == "SIGKILL":
             assert await rig.processes[owner].wait() == -signal.SIGKILL
@@ -308,27 +348,29 @@
         if how == "SIGKILL":
             await rig.run(owner)
         else:
-            assert cut_short(log.read_bytes())                      # it has stood still all the time
+            assert cut_short(log.read_bytes())  # it has stood still all the time
             rig.signal(owner, signal.SIGCONT)
         await rig.until(lambda s: s["name"] == owner and released(2)(s))
+
     test(tmp_path)
 
 
 @pytest.mark.parametrize("how", ["SIGKILL", "SIGSTOP"])
 def test_the_leader_is_struck_as_it_writes_the_vote_that_decides(tmp_path, how):
     """Half of that vote is on its disk, nobody was told of it: told again it counts, once, and the stage goes on."""
+
     @rigged(agents=6, votes=False)
     async def test(rig, owner):
         assert await rig.offer(2)
         leader = (await rig.until(lambda s: s["role"] == "leader" and stage_is(2, 0)(s)))["name"]
         other = other_than(rig, leader)
         await until_followed(rig, lambda row: row["build"] == 2, 6)
-        assert await rig.ballots(other, (101, 102), 2, 0, pb.ON) == [pb.Verdict.OK] * 2     # three are due
+        assert await rig.ballots(other, (101, 102), 2, 0, pb.ON) == [pb.Verdict.OK] * 2  # three are due
         await rig.until(lambda s: s["name"] == leader and s["release"]["votes"]["on"] == 2)
         rig.disk(leader, tear=how)
         assert await rig.ballots(other, (103,), 2, 0, pb.ON) == [pb.Verdict.OK]
-        rig.told_ok += [(agent, 2, 0) for agent in (101, 102, 103)]     # the verdict looks for them in the log
-        assert not (rig.folder / f"{leader}.disk").exists()              # it was torn
+        rig.told_ok += [(agent, 2, 0) for agent in (101, 102, 103)]  # the verdict looks for them in the log
+        assert not (rig.folder / f"{leader}.disk").exists()  # it was torn
         if how == "SIGKILL":
             assert await rig.processes[leader].wait() == -signal.SIGKILL
             await rig.run(leader)
@@ -340,12 +382,14 @@
             await asyncio.sleep(0.2)
         assert (at["build"], at["stage"]) == (2, 1)
         await rig.until(lambda s: s["name"] == leader and s["led"] and stage_is(2, 1)(s))
+
     test(tmp_path)
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGSTOP])
 def test_the_owner_is_struck_with_half_of_the_agents_told(tmp_path, how):
     """What it said to those that listen at it lies in the network until all have followed what came behind."""
+
     @rigged(agents=9)
     async def test(rig, owner):
         rig.hurt(f"agents-{owner}", "hold", "back")
@@ -361,6 +405,7 @@
             await rig.run(owner)
         await rig.until(released(2))
         await rig.until(lambda s: s["name"] == owner and released(2)(s))
+
     test(tmp_path)
 
 
@@ -389,7 +434,7 @@
 @rigged()
 async def test_the_owner_of_steps_is_stopped_amid_one_and_wakes_up_late(rig, owner):
     holder = await rig.owner("steps owners")
-    rig.hurt(f"{holder}-steps", "hold", "out")      # its call for the first step lies in the network
+    rig.hurt(f"{holder}-steps", "hold", "out")  # its call for the first step lies in the network
     assert await rig.offer(2)
     await rig.until(lambda s: s["steps"]["owners"]["how"] == "begun")
     rig.signal(holder, signal.SIGSTOP)
@@ -404,12 +449,15 @@
 @pytest.mark.parametrize("step", [0, 2])
 def test_the_target_dies_between_doing_a_step_and_noting_it(tmp_path, step):
     """Half of the line that is both is on its disk: it was not done, and is done once by whoever asks next."""
+
     @rigged()
     async def test(rig, owner):
         for name in rig.names:
-            rig.hurt(f"{name}-machines", "hold")        # so that steps alone are written
+            rig.hurt(f"{name}-machines", "hold")  # so that steps alone are written
         if step:
-            rig.hurt(f"{await rig.owner('steps owners')}-steps", "delay", "300ms")      # time to strike at one in the middle
+            rig.hurt(
+                f"{await rig.owner('steps owners')}-steps", "delay", "300ms"
+            )  # time to strike at one in the middle
         assert await rig.offer(2)
         await rig.until(lambda s: len(s["steps"]["owners"]["done"]) >= step)
         rig.disk("receivers", tear="SIGKILL")
@@ -421,6 +469,7 @@
         await rig.until(released(2))
         ran = [row for row in map(json.loads, rig.record.read_text().splitlines()) if row.get("how") == "run"]
         assert [row["name"] for row in ran] == ["add", "copy", "drop", "check"]
+
     test(tmp_path)
 
 
@@ -441,15 +490,23 @@
     assert await rig.offer(2)
     seen, epoch = [owner], (await rig.until(stage_is(2, 0)))["duties"]["release"]["epoch"]
     for _ in range(3):
-        done = await asyncio.to_thread(cartweir, "controller", "hand-over", "release", "--at", ",".join(
-            rig.listen[name] for name in rig.names))
+        done = await asyncio.to_thread(
+            cartweir,
+            "controller",
+            "hand-over",
+            "release",
+            "--at",
+            ",".join(rig.listen[name] for name in rig.names),
+        )
         assert done.returncode == 0, done.stderr
         # of the last one that was seen: the next status may come from a member that has not got so far
         status = await rig.until(lambda s: s["duties"]["release"]["epoch"] > epoch)
         epoch = status["duties"]["release"]["epoch"]
         seen.append(status["duties"]["release"]["owner"])
     assert all(a != b for a, b in zip(seen, seen[1:]))
-    await rig.until(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] == epoch)      # it has got so far, too
+    await rig.until(
+        lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] == epoch
+    )  # it has got so far, too
     rows = await rig.ask(owner, ask="history")
     assert [row["why"] for row in rows if row["duty"] == "release"].count("asked for") == 3
 
@@ -467,7 +524,7 @@
             left, lost = [name for name in rig.names if name != owner]
             await rig.run(left)
             status = await rig.until(lambda s: s["name"] == left)
-            assert not status["led"] and not await rig.offer(3)     # alone it leads nobody
+            assert not status["led"] and not await rig.offer(3)  # alone it leads nobody
             await rig.kill(left)
             refused = cartweir("controller", "recover", "-s", rig.folder / f"{left}.ini")
             assert refused.returncode == 2 and "--others-are-gone" in refused.stderr
@@ -475,18 +532,23 @@
             assert done.returncode == 0 and "incarnation 1" in done.stdout, done.stderr
             await rig.run(left)
             status = await rig.until(lambda s: s["name"] == left and s["duties"]["release"]["owner"] == left)
-            assert status["duties"]["release"]["epoch"] > before["duties"]["release"]["epoch"] and status["incarnation"] == 1
-            await rig.run(lost)                 # one of the old incarnation that comes back after all is not heard
+            assert (
+                status["duties"]["release"]["epoch"] > before["duties"]["release"]["epoch"]
+                and status["incarnation"] == 1
+            )
+            await rig.run(lost)  # one of the old incarnation that comes back after all is not heard
             await rig.until(lambda s: s["name"] == left and released(2)(s))
-            status = await rig.until(lambda s: s["name"] == lost)       # once it listens
+            status = await rig.until(lambda s: s["name"] == lost)  # once it listens
             assert status["role"] != "leader" and status["incarnation"] == 0
         finally:
             await rig.stop()
+
     asyncio.run(play())
 
 
 def test_receivers_without_a_fence_are_found_out(tmp_path):
     """The verdict's own proof: the same late call as above, at receivers that take whatever comes."""
+
     async def play():
         rig = Rig(tmp_path / "rig", Scale(), unfenced=True)
         await rig.start()
@@ -502,12 +564,14 @@
         finally:
             verdict = await rig.end()
         assert any("was carried out after" in breach for breach in verdict.breaches), verdict.text()
+
     asyncio.run(asyncio.wait_for(play(), 60))
 
 
 @pytest.mark.parametrize("deaf_first", [True, False])
 def test_a_ballot_goes_on_to_a_controller_that_answers(deaf_first):
     """Guards against agents whose controller hears the others and is not heard: it never answers a ballot."""
+
     def office(answers):
         service, ballots = Service(), []
 
@@ -516,7 +580,12 @@
 
         async def vote(request):
             ballots.append(pb.Ballot.FromString(request.message).serial)
-            return pb.Verdict(stage=pb.Stage(build=2, epoch=5, index=6, cap=0.1)).SerializeToString() if answers else None
+            return (
+                pb.Verdict(stage=pb.Stage(build=2, epoch=5, index=6, cap=0.1)).SerializeToString()
+                if answers
+                else None
+            )
+
         service.handlers.update({"/cartweir.v1.Conveyor/News": news, "/cartweir.v1.Conveyor/Vote": vote})
         return service, ballots, service.listen_on("127.0.0.1:0")
 
@@ -527,29 +596,43 @@
         agent.news._at = agent.news._counts = 0 if deaf_first else 1
         while "vote" not in said:
             await asyncio.sleep(0.01)
-        assert len(heard) == 1 and set(unheard) <= set(heard)       # the same ballot, under its number
+        assert len(heard) == 1 and set(unheard) <= set(heard)  # the same ballot, under its number
         while len(heard) < 3:
             await asyncio.sleep(0.01)
-        assert len(unheard) == int(deaf_first)                      # later ones go first to whom answered
+        assert len(unheard) == int(deaf_first)  # later ones go first to whom answered
         agent.close()
         deaf.shut()
         good.shut()
+
     asyncio.run(asyncio.wait_for(play(), 5))
 
 
-@pytest.mark.parametrize("change, says", [
-    ("cluster = rig", "of cluster rig"), ("name = a", "of name a"), ("election = 300ms", "at least three heartbeats"),
-    ("build = 2", "build: missing"), ("caps = 0.14", "caps")])
+@pytest.mark.parametrize(
+    "change, says",
+    [
+        ("cluster = rig", "of cluster rig"),
+        ("name = a", "of name a"),
+        ("election = 300ms", "at least three heartbeats"),
+        ("build = 2", "build: missing"),
+        ("caps = 0.14", "caps"),
+    ],
+)
 def test_bad_settings_and_another_ones_directory_end_with_one_line(tmp_path, change, says):
     async def make():
         rig = Rig(tmp_path / "rig", Scale(agents=0))
         await rig.start()
         await rig.end()
         return rig
+
     rig = asyncio.run(make())
     path = rig.folder / "a.ini"
-    new = {"cluster = rig": "cluster = other", "name = a": "name = b", "election = 300ms": "election = 100ms", "build = 2\n": "",
-           "caps = 0.14": "caps = 0.9"}
+    new = {
+        "cluster = rig": "cluster = other",
+        "name = a": "name = b",
+        "election = 300ms": "election = 100ms",
+        "build = 2\n": "",
+        "caps = 0.14": "caps = 0.9",
+    }
     text = path.read_text()
     for old, to in new.items():
         if old.strip() == change:
@@ -591,7 +674,11 @@
 async def answers(channel):
     """Whether the receivers' process listens: it is asked with a stamp below all others."""
     try:
-        await channel.unary("/cartweir.v1.Steps/Run", pb.Step(stamp=pb.Stamp(duty="steps nobody")).SerializeToString(), 1_000_000)
+        await channel.unary(
+            "/cartweir.v1.Steps/Run",
+            pb.Step(stamp=pb.Stamp(duty="steps nobody")).SerializeToString(),
+            1_000_000,
+        )
     except CallError as error:
         return not error.never_ran
     return True
@@ -599,6 +686,7 @@
 
 def test_two_controllers_that_try_one_step_at_once_carry_it_out_once(tmp_path):
     """Each under an epoch of its own, twelve calls in one moment: the target's process does it once, and says so to all others."""
+
     async def run():
         rig = Rig(tmp_path / "rig", Scale(agents=0))
         await rig.start()
@@ -611,8 +699,19 @@
             for number, name in enumerate(rig.scale.steps):
 
                 async def ask(epoch, channel, number=number, name=name):
-                    step = pb.Step(stamp=pb.Stamp(duty="steps owners", epoch=epoch, index=epoch + number), number=number, name=name)
-                    return pb.Ran.FromString((await channel.unary("/cartweir.v1.Steps/Run", step.SerializeToString(), 20_000_000)).message).how
+                    step = pb.Step(
+                        stamp=pb.Stamp(duty="steps owners", epoch=epoch, index=epoch + number),
+                        number=number,
+                        name=name,
+                    )
+                    return pb.Ran.FromString(
+                        (
+                            await channel.unary(
+                                "/cartweir.v1.Steps/Run", step.SerializeToString(), 20_000_000
+                            )
+                        ).message
+                    ).how
+
                 asked = [ask(900 + at % 2, channels[at % 2]) for at in range(12)]
                 how = await asyncio.gather(*asked)
                 assert pb.Ran.DONE in how and set(how) <= {pb.Ran.DONE, pb.Ran.LATE}
@@ -623,6 +722,7 @@
         rows = [json.loads(line) for line in rig.record.read_text().splitlines()]
         ran = [row["name"] for row in rows if row.get("how") == "run" and row["duty"] == "steps owners"]
         assert ran == list(rig.scale.steps)
+
     asyncio.run(run())
 
 
@@ -639,7 +739,7 @@
         await lost.unary("/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), 700_000)
     lost.close()
     rig.hurt(f"agents-{other}", "pass")
-    assert await rig.ballots(other, (0,), 2, 0, pb.ON) == [pb.Verdict.OK]          # its next life
+    assert await rig.ballots(other, (0,), 2, 0, pb.ON) == [pb.Verdict.OK]  # its next life
     release = (await rig.ask(other, ask="status"))["release"]
     assert (release["stage"], release["votes"]) == (0, {"on": 1, "back": 0})
     assert await rig.ballots(other, (0, 1), 2, 0, pb.ON) == [pb.Verdict.OK] * 2
@@ -656,7 +756,7 @@
         looping.stop()
         looping.start()
         told = len(rig.told_ok)
-        while len(rig.told_ok) == told:                                            # each life has voted
+        while len(rig.told_ok) == told:  # each life has voted
             await asyncio.sleep(0.02)
     assert {agent for agent, *_ in rig.told_ok} == {0}
     release = (await rig.ask(owner, ask="status"))["release"]
