--- a/benchmarks/division.py
+++ b/benchmarks/division.py
@@ -32,12 +32,12 @@
 )  # every second invocation would go to the trial if it might
 
 
-def known(free: float) -> dict:
+def settings(free: float) -> dict:
     return {"window": WINDOW, "tick": 10_000, "free": free}
 
 
 def one(parts: int, arrivals: list, chance: random.Random) -> tuple[int, int]:
-    exposure, sent = Exposure(known(1)), 0
+    exposure, sent = Exposure(settings(1)), 0
     for when, _ in arrivals:
         exposure.take(when)
         if chance.random() < TRIAL_PART and exposure.room(when, CAP):
@@ -48,7 +48,7 @@
 
 def static(parts: int, arrivals: list, chance: random.Random) -> tuple[int, int]:
     """A window may hold one dispatch and no invocation, so a part without a free one may never send any."""
-    exposure, sent = Exposure(known(1)), 0
+    exposure, sent = Exposure(settings(1)), 0
     for when, part in arrivals:
         if part == 0:
             exposure.take(when)
@@ -60,7 +60,7 @@
 
 def leased(parts: int, arrivals: list, chance: random.Random) -> tuple[int, int]:
     """Each part asks for one token whenever it has none; an answer takes 1 ms there and back."""
-    exposure, sent, wasted = Exposure(known(1)), 0, 0
+    exposure, sent, wasted = Exposure(settings(1)), 0, 0
     held: list[list | None] = [None] * parts
     asked: list[int] = [0] * parts
     returns: list[tuple[int, int, list]] = []
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -175,7 +175,7 @@
         file.write_text(SETTINGS.format(registry=registry.listen_on("127.0.0.1:0")))
         daemon = Daemon(read_agent(file), make_log("json", "error"))
     address = daemon.start_up()
-    daemon.seat.engine.agent.limit = 1e6
+    daemon.seat.engine.agent.concurrency_limit = 1e6
     seed_flaw(daemon, flaw)
     host, port = address.split(":")
     client = Side(socket.create_connection((host, int(port))), True)
--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -157,8 +157,8 @@
         self.alarms = Alarms(self.loop, self.clock.now, lambda: self.seat.alarm())
         self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
         self.registry: RegistryNews | None = None
-        known = {**document.decision_settings(), "operations": operations_of(document)}
-        self.seat = self.links.seat = Seat(self, known, seed)
+        settings = {**document.decision_settings(), "operations": operations_of(document)}
+        self.seat = self.links.seat = Seat(self, settings, seed)
         stamps = Stamps(agent.stage_file, self.note)
         self.keep: Keep | None = None
         if agent.facts_file is not None:
--- a/cartweir/agent/front.py
+++ b/cartweir/agent/front.py
@@ -227,7 +227,7 @@
         "arrived",
         "body",
         "walk",
-        "inv",
+        "invocation",
         "source",
         "_granted",
         "_answered",
@@ -238,7 +238,7 @@
         self.arrived = front.clock.arrived()
         self.body: list[bytes] = []
         self.walk = BodyWalk(front.bounds.message)
-        self.inv: Invocation | None = None
+        self.invocation: Invocation | None = None
         self.source: Stream | None = None  # the appliance's stream that is passed on
         self._granted = 0  # bytes under way to the client that it was granted room for already
         self._answered = False
@@ -302,7 +302,7 @@
             return
         operation = front.methods[asked.path]
         limit = operation.time_limit if asked.timeout is None else asked.timeout
-        self.inv = front.seat.take(
+        self.invocation = front.seat.take(
             self,
             operation,
             self.arrived,
@@ -316,9 +316,9 @@
 
     def on_gone(self, stream: Stream, how: str, code: int) -> None:
         """The client has left."""
-        if self.inv is not None and not self._answered:
+        if self.invocation is not None and not self._answered:
             self._answered = True
-            self.front.seat.left(self.inv)
+            self.front.seat.left(self.invocation)
 
     def on_sent(self, stream: Stream, size: int) -> None:
         if self.source is not None:
@@ -380,8 +380,8 @@
         """Whether there is still more to say; its time over, it is not said."""
         if self.stream.said_all or self.stream.gone:
             return False
-        if now >= self.inv.expires:
-            self.front.note("answer_unread", invocation=self.inv.ident, queued=self.stream.queued)
+        if now >= self.invocation.deadline:
+            self.front.note("answer_unread", invocation=self.invocation.id, queued=self.stream.queued)
             self.stream.reset()
             return False
         return True
--- a/cartweir/agent/links.py
+++ b/cartweir/agent/links.py
@@ -346,7 +346,7 @@
     def __init__(self, links: Links, dispatch: Dispatch, call: ClientCall) -> None:
         super().__init__(links)
         self.dispatch, self.call = dispatch, call
-        self.patience = dispatch.patience or max(1, dispatch.invocation.expires - self.began)
+        self.patience = dispatch.timeout or max(1, dispatch.invocation.deadline - self.began)
         self.head: Headers = ()
         self.body: list[bytes] = []
         self.held = 0
@@ -355,15 +355,15 @@
 
     # ---- out ----
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
-        inv, asked = self.dispatch.invocation, self.call.asked
+        invocation, asked = self.dispatch.invocation, self.call.asked
         return grpc.request_headers(
             asked.path,
-            self.links.addresses.get(self.dispatch.appliance.ident, "").encode(),
+            self.links.addresses.get(self.dispatch.appliance.id, "").encode(),
             left,
             [
                 *asked.metadata,
                 (names.AGENT_HEADER, b"%d" % self.links.reach.me),
-                (names.DISPATCH_HEADER, b"%d.%d" % (inv.ident, self.dispatch.number)),
+                (names.DISPATCH_HEADER, b"%d.%d" % (invocation.id, self.dispatch.number)),
             ],
         )
 
@@ -390,7 +390,7 @@
         try:
             self.walk.feed(data)
         except Malformed as error:
-            self.links.note("bad_answer", appliance=self.dispatch.appliance.ident, why=str(error))
+            self.links.note("bad_answer", appliance=self.dispatch.appliance.id, why=str(error))
             stream.reset()
             self._end(ours.ERROR)
             return
@@ -413,7 +413,7 @@
         self.body = []
         # from here on the client's time alone counts
         self.links.loop.remove_timeout(self._timer)
-        left = self.dispatch.invocation.expires - self.links.reach.margin - self.links.now()
+        left = self.dispatch.invocation.deadline - self.links.reach.margin - self.links.now()
         self._timer = self.links.loop.call_later(max(0, left) / 1e6, self._out_of_time)
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
@@ -453,7 +453,7 @@
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
         return grpc.request_headers(
             PROBE,
-            self.links.addresses.get(self.appliance.ident, "").encode(),
+            self.links.addresses.get(self.appliance.id, "").encode(),
             left,
             [(names.AGENT_HEADER, b"%d" % self.links.reach.me)],
         )
--- a/cartweir/agent/news.py
+++ b/cartweir/agent/news.py
@@ -178,7 +178,7 @@
         if listing.whole:
             in_use = [n for n, e in self._entries.items() if e.state == pb.READY]
             decision = self.lists.on_full_list(self.now(), version, names, in_use)
-            entries += [self._entries[ident] for ident in decision.retained]
+            entries += [self._entries[appliance_id] for appliance_id in decision.retained]
         else:
             decision = self.lists.on_changes(version, names)
         if not decision.follow:
@@ -211,7 +211,9 @@
     def _let_go(self) -> None:
         """What no list has named for long enough is gone."""
         gone = [
-            self._entries[ident] for ident in self.lists.take_expired(self.now()) if ident in self._entries
+            self._entries[appliance_id]
+            for appliance_id in self.lists.take_expired(self.now())
+            if appliance_id in self._entries
         ]
         for entry in gone:
             entry.state = pb.GONE
@@ -384,7 +386,7 @@
                     )
 
     async def _stage(self, told: pb.Stage, answer: str | None) -> None:
-        stages, came = len(self.seat.known["caps"]), self.now()
+        stages, came = len(self.seat.settings["caps"]), self.now()
         if told.number >= stages or told.phase >= len(PHASES) or not 0 <= told.cap <= 1:
             self.note(
                 "stage_unknown",
--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -38,28 +38,32 @@
     def __init__(self, number: int, pipe: Pipe, share: Share) -> None:
         self.number, self.pipe, self.share = number, pipe, share
         self.leaving = False  # it drains, and carries nothing new for others
-        self.invs: dict[int, Invocation] = {}  # that it holds, until nothing of them is out
+        self.invocations: dict[int, Invocation] = {}  # that it holds, until nothing of them is out
 
-    def tidy(self, ident: int) -> None:
+    def tidy(self, invocation_id: int) -> None:
         """Forgotten once it is answered and nothing of it is out."""
-        inv = self.invs.get(ident)
-        if inv is not None and inv.concluded and all(d.ended is not None for d in inv.dispatches):
-            del self.invs[ident]
+        invocation = self.invocations.get(invocation_id)
+        if (
+            invocation is not None
+            and invocation.concluded
+            and all(d.result is not None for d in invocation.dispatches)
+        ):
+            del self.invocations[invocation_id]
 
 
 class FarCall:
     """In place of a client's call: the part that holds it is told the answer."""
 
-    __slots__ = ("member", "ident", "answer", "given")
+    __slots__ = ("member", "id", "answer", "given")
 
-    def __init__(self, member: Member, ident: int) -> None:
-        self.member, self.ident = member, ident
+    def __init__(self, member: Member, invocation_id: int) -> None:
+        self.member, self.id = member, invocation_id
         self.answer = 0  # number of the dispatch whose answer it is to be
         self.given = False  # the part has passed it on already
 
     def _say(self, how: int, figure: int) -> None:
-        self.member.pipe.send([say.ANSWER, self.ident, how, figure])
-        IOLoop.current().add_callback(self.member.tidy, self.ident)
+        self.member.pipe.send([say.ANSWER, self.id, how, figure])
+        IOLoop.current().add_callback(self.member.tidy, self.id)
 
     def succeed(self, *answer: Any) -> None:
         if not self.given:
@@ -81,23 +85,23 @@
         self.call, self.dispatch, self.share = call, dispatch, share
 
     def abandon(self, late: bool) -> None:
-        self.call.member.pipe.send([say.CANCEL, self.dispatch.invocation.ident, self.dispatch.number, late])
+        self.call.member.pipe.send([say.CANCEL, self.dispatch.invocation.id, self.dispatch.number, late])
 
 
 class MainSeat(Seat):
     """A Seat that lets the carrying parts know of stages and lists, and the book of what must not be forgotten."""
 
-    def __init__(self, decider: Decider, known: Mapping[str, Any], seed: int) -> None:
+    def __init__(self, decider: Decider, settings: Mapping[str, Any], seed: int) -> None:
         self.decider = decider
-        super().__init__(decider, known, seed)
+        super().__init__(decider, settings, seed)
 
     def listed(self, how: str, rows: Iterable[Row] = (), waited: int | None = 0) -> list[Appliance]:
         rows = list(rows)
         for row in rows:
-            self.decider.rows[row.ident] = row
+            self.decider.rows[row.id] = row
         changed = super().listed(how, rows, waited)
         for row in rows:
-            self.decider.marks[self.roster.appliances[row.ident]] = mark_of(row)
+            self.decider.marks[self.roster.appliances[row.id]] = mark_of(row)
         self.decider.tell_rows(how, rows, changed)
         return changed
 
@@ -110,7 +114,7 @@
         super().ended(dispatch, how, *facts, **more)
         if attempt is not None:
             attempt.share.out -= 1
-            attempt.call.member.tidy(dispatch.invocation.ident)
+            attempt.call.member.tidy(dispatch.invocation.id)
 
 
 class Decider:
@@ -144,8 +148,8 @@
         self.registry = None
         operations = operations_of(document)
         self._index = {operation: at for at, operation in enumerate(operations)}
-        known = {**document.decision_settings(), "operations": operations}
-        self.seat = MainSeat(self, known, seed)
+        settings = {**document.decision_settings(), "operations": operations}
+        self.seat = MainSeat(self, settings, seed)
         self.operations = operations
         stamps = Stamps(agent.stage_file, self.note)
         self.keep: Keep | None = None
@@ -174,17 +178,17 @@
     def _restore(self) -> None:
         """What the one before wrote down."""
         book, agent, now = self.book, self.seat.engine.agent, self.clock.now()
-        sends = trusted(book.exposures(), now, self.seat.known["window"] + 2 * self.seat.known["tick"])
+        sends = trusted(book.exposures(), now, self.seat.settings["window"] + 2 * self.seat.settings["tick"])
         for when, operation in sends:
-            agent.exposures[self.operations[operation]].sends.append([when, 0])
+            agent.exposure_budgets[self.operations[operation]].sends.append([when, 0])
         if (told := book.state.get("stage")) is not None:
             build, number, phase, cap, since = told
-            agent.forgot = book.state.get("forgot", False)
+            agent.bound_keys_incomplete = book.state.get("forgot", False)
             self.seat.staged(Stage(build, number, phase, cap, max(0, now - since)))
             agent.bound_keys = book.keys()
             put_back(agent, self.operations, book.state.get("mind", {}))
             if (vote := book.state.get("vote")) is not None and tuple(vote[:2]) == (build, number):
-                agent.vote = tuple(vote)
+                agent.current_vote = tuple(vote)
             self.note("restored", exposures=len(sends), keys=len(agent.bound_keys), build=build, stage=number)
 
     # ---- its life ----
@@ -236,13 +240,13 @@
             "part_lost",
             level="info" if member.leaving else "warning",
             lost=member.number,
-            held=len(member.invs),
+            held=len(member.invocations),
         )
-        for inv in list(member.invs.values()):
-            self.seat.left(inv)
-            for dispatch in inv.dispatches:
-                if dispatch.ended is None:
-                    self._bound(member, inv.key, dispatch.appliance.build)
+        for invocation in list(member.invocations.values()):
+            self.seat.left(invocation)
+            for dispatch in invocation.dispatches:
+                if dispatch.result is None:
+                    self._bound(member, invocation.key, dispatch.appliance.build)
                     self.seat.ended(dispatch, ours.CANCELLED)
 
     # ---- what parts say ----
@@ -258,9 +262,9 @@
             member.pipe.send(self._stage_message(stage))
         member.pipe.send([say.PULSE])
 
-    def _take(self, member: Member, ident: int, operation: int, *facts: Any) -> None:
-        act = partial(self._taken, member, ident, self.operations[operation], *facts)
-        if self.seat.known["one_way"] and facts[3]:
+    def _take(self, member: Member, invocation_id: int, operation: int, *facts: Any) -> None:
+        act = partial(self._taken, member, invocation_id, self.operations[operation], *facts)
+        if self.seat.settings["one_way"] and facts[3]:
             # behind whatever other parts had said of the key before its client could know: that is read a turn later
             self.loop.add_callback(self.loop.add_callback, act)
         else:
@@ -269,7 +273,7 @@
     def _taken(
         self,
         member: Member,
-        ident: int,
+        invocation_id: int,
         operation: Any,
         arrived: int,
         limit: int,
@@ -279,32 +283,32 @@
         retry: bool,
         write: bool,
     ) -> None:
-        if self.members.get(member.number) is not member or ident in member.invs:
+        if self.members.get(member.number) is not member or invocation_id in member.invocations:
             return
-        member.invs[ident] = self.seat.take(
-            FarCall(member, ident),
+        member.invocations[invocation_id] = self.seat.take(
+            FarCall(member, invocation_id),
             operation,
             arrived,
             limit,
-            ident=ident,
+            invocation_id=invocation_id,
             customer=customer,
             key=key,
             hint=hint,
             retry=retry,
             write=write,
         )
-        member.tidy(ident)
+        member.tidy(invocation_id)
 
-    def _left(self, member: Member, ident: int) -> None:
-        inv = member.invs.get(ident)
-        if inv is not None:
-            self.seat.left(inv)
-            member.tidy(ident)
+    def _left(self, member: Member, invocation_id: int) -> None:
+        invocation = member.invocations.get(invocation_id)
+        if invocation is not None:
+            self.seat.left(invocation)
+            member.tidy(invocation_id)
 
     def _ended(
         self,
         member: Member,
-        ident: int,
+        invocation_id: int,
         number: int,
         how: int,
         load: dict | None,
@@ -312,30 +316,30 @@
         lag: int,
         given: bool,
     ) -> None:
-        inv = member.invs.get(ident)
-        if inv is None or number >= len(inv.dispatches):
+        invocation = member.invocations.get(invocation_id)
+        if invocation is None or number >= len(invocation.dispatches):
             return
-        dispatch = inv.dispatches[number]
-        call, name = self.seat.calls.get(inv), OUTCOMES[how]
+        dispatch = invocation.dispatches[number]
+        call, name = self.seat.calls.get(invocation), OUTCOMES[how]
         if call is not None:
             call.answer, call.given = number, given
         self.seat.lag = lag
         self.seat.ended(dispatch, name, load, ((), [], ()) if name == ours.SUCCEEDED else None, passed)
         self.seat.lag = 0
-        member.tidy(ident)
+        member.tidy(invocation_id)
 
-    def _begun(self, member: Member, ident: int) -> None:
-        inv = member.invs.get(ident)
-        if inv is not None:
-            inv.streaming = True
+    def _begun(self, member: Member, invocation_id: int) -> None:
+        invocation = member.invocations.get(invocation_id)
+        if invocation is not None:
+            invocation.streaming = True
 
-    def _may(self, member: Member, ident: int, number: int) -> None:
+    def _may(self, member: Member, invocation_id: int, number: int) -> None:
         """A grant was not used in time; it counts from now, if it may still go."""
-        inv, goes = member.invs.get(ident), False
-        if inv is not None and number < len(inv.dispatches):
-            dispatch = inv.dispatches[number]
+        invocation, goes = member.invocations.get(invocation_id), False
+        if invocation is not None and number < len(invocation.dispatches):
+            dispatch = invocation.dispatches[number]
             goes = self.seat.leaves(dispatch) and self._booked(dispatch)
-        member.pipe.send([say.MAY_GO, ident, number, goes, self.seat.engine.now])
+        member.pipe.send([say.MAY_GO, invocation_id, number, goes, self.seat.engine.now])
 
     def _probed(self, member: Member, mark: str | None, answered: bool, took: int, load: dict | None) -> None:
         appliance = next((a for a in self.seat.roster.appliances.values() if self.marks.get(a) == mark), None)
@@ -350,7 +354,7 @@
 
     def _bound(self, member: Member, key: str | None, build: int) -> None:
         agent = self.seat.engine.agent
-        if binds(self.seat.known, agent.stage, key, build):
+        if binds(self.seat.settings, agent.stage, key, build):
             agent.bound_keys[key] = max(build, agent.bound_keys.get(key, 0))
             self._write_down(key, build)
 
@@ -375,7 +379,7 @@
     # ---- what parts are told ----
     def _row(self, row: Row) -> list:
         return [
-            row.ident,
+            row.id,
             row.build,
             row.run,
             row.started,
@@ -384,19 +388,19 @@
             row.cell,
             row.kind,
             row.weight,
-            self.addresses.get(row.ident, ""),
+            self.addresses.get(row.id, ""),
         ]
 
     def tell_rows(self, how: str, rows: list[Row], changed: list[Appliance]) -> None:
         for appliance in changed:
             if appliance.state == ours.GONE:
                 self.marks.pop(appliance, None)
-                if self.seat.roster.appliances.get(appliance.ident) is appliance:
-                    self.rows.pop(appliance.ident, None)
-        if how in (ours.CHANGES, ours.WHOLE, ours.CACHED):
+                if self.seat.roster.appliances.get(appliance.id) is appliance:
+                    self.rows.pop(appliance.id, None)
+        if how in (ours.DELTA, ours.SNAPSHOT, ours.CACHED):
             text = [
                 say.ROWS,
-                ours.CHANGES if how == ours.CHANGES else ours.WHOLE,
+                ours.DELTA if how == ours.DELTA else ours.SNAPSHOT,
                 [self._row(row) for row in rows],
             ]
             for member in self.members.values():
@@ -420,7 +424,7 @@
         if self.book.state.get("stage") != state:
             if (self.book.state.get("stage") or [None])[0] != stage.build:
                 self.book.keep_keys(agent.bound_keys.items())
-            self.book.put(stage=state, forgot=agent.forgot)
+            self.book.put(stage=state, forgot=agent.bound_keys_incomplete)
             for member in self.members.values():
                 member.pipe.send(self._stage_message(stage))
 
@@ -429,11 +433,11 @@
         """A dispatch that counts, or may bind its key, is written down before anybody is told of it. False: the book has
         no room."""
         key, build = dispatch.invocation.key, dispatch.appliance.build
-        if binds(self.seat.known, self.seat.engine.agent.stage, key, build):
+        if binds(self.seat.settings, self.seat.engine.agent.stage, key, build):
             self._write_down(key, build)
-        if dispatch.learned is not None:
-            when = dispatch.learned[0]
-            if self.book.full_since() > when - self.seat.known["window"] - 2 * self.seat.known["tick"]:
+        if dispatch.decision_state is not None:
+            when = dispatch.decision_state[0]
+            if self.book.full_since() > when - self.seat.settings["window"] - 2 * self.seat.settings["tick"]:
                 return False
             self.book.exposed(when, self._index[dispatch.invocation.operation])
         return True
@@ -455,28 +459,28 @@
         self.loop.add_callback(do)
 
     def start(self, dispatch: Dispatch, call: FarCall) -> FarAttempt:
-        inv, member = dispatch.invocation, call.member
-        carrier = self.division.carrier(member.share, dispatch.appliance.ident, self.clock.now())
+        invocation, member = dispatch.invocation, call.member
+        carrier = self.division.carrier(member.share, dispatch.appliance.id, self.clock.now())
         carrier.out += 1
         if self._booked(dispatch):
             member.pipe.send(
                 [
                     say.DISPATCH,
-                    inv.ident,
+                    invocation.id,
                     dispatch.number,
                     self.marks.get(dispatch.appliance, ""),
-                    dispatch.patience,
+                    dispatch.timeout,
                     self.seat.engine.now,
                     carrier.number,
                 ]
             )
         else:
             self.note("book_full", level="error")
-            self.loop.add_callback(self.seat.ended, dispatch, ours.MOOT)
+            self.loop.add_callback(self.seat.ended, dispatch, ours.OBSOLETE)
         return FarAttempt(call, dispatch, carrier)
 
     def probe(self, appliance: Appliance) -> None:
-        share = self.division.prober(appliance.ident, self.clock.now())
+        share = self.division.prober(appliance.id, self.clock.now())
         if share is not None and share.number in self.members:
             self.members[share.number].pipe.send([say.PROBE, self.marks.get(appliance, "")])
 
--- a/cartweir/cores/desk.py
+++ b/cartweir/cores/desk.py
@@ -47,7 +47,7 @@
     ours.CANCELLED,
     ours.FULL,
     ours.UNCONNECTED,
-    ours.MOOT,
+    ours.OBSOLETE,
 )
 CODES = {how: code for code, how in enumerate(OUTCOMES)}
 SUCCEED, THROTTLE, TERMINATE = range(3)
@@ -56,10 +56,10 @@
 class Case:
     """One invocation that this part holds."""
 
-    __slots__ = ("inv", "call", "facts", "grants", "attempts", "answers", "life", "answered")
+    __slots__ = ("invocation", "call", "facts", "grants", "attempts", "answers", "life", "answered")
 
-    def __init__(self, inv: Invocation, call: ClientCall, facts: dict[str, Any]) -> None:
-        self.inv, self.call, self.facts = inv, call, facts
+    def __init__(self, invocation: Invocation, call: ClientCall, facts: dict[str, Any]) -> None:
+        self.invocation, self.call, self.facts = invocation, call, facts
         self.grants: dict[int, list] = {}  # by dispatch: what the deciding part said, until it has left
         self.attempts: dict[int, Any] = {}  # by dispatch: what is out
         self.answers: dict[int, tuple] = {}  # by dispatch: whole answers that nobody has ruled on
@@ -74,26 +74,26 @@
         self,
         number: int,
         parts: int,
-        known: Mapping[str, Any],
+        settings: Mapping[str, Any],
         clock: Clock,
         links: Links,
         note: Note,
         idents: Iterator[int],
         seed: int,
     ) -> None:
-        self.number, self.parts, self.known, self.clock, self.links, self.note = (
+        self.number, self.parts, self.settings, self.clock, self.links, self.note = (
             number,
             parts,
-            known,
+            settings,
             clock,
             links,
             note,
         )
         self.idents, self.seed, self.loop = idents, seed, IOLoop.current()
         self.operations: dict[str, Operation] = {
-            operation.name: operation for operation in known["operations"]
+            operation.name: operation for operation in settings["operations"]
         }
-        self._index = {operation: at for at, operation in enumerate(known["operations"])}
+        self._index = {operation: at for at, operation in enumerate(settings["operations"])}
         self.cases: dict[int, Case] = {}
         self.roster = Roster()
         self.appliances: dict[str, Appliance] = {}  # by the mark that the parts know one start of one by
@@ -122,7 +122,7 @@
         decider.send([say.HELLO, self.number])
         for case in list(self.cases.values()):
             if not case.answered:
-                if case.inv.dispatches:  # of one that is gone: its outcome is awaited here
+                if case.invocation.dispatches:  # of one that is gone: its outcome is awaited here
                     self._rule(case)
                 else:
                     self._refer(case)
@@ -141,7 +141,7 @@
         if self.silence.hear(self.clock.now()):
             self.note("together", held=len(self.cases))
             for case in self.cases.values():
-                if not case.answered and not case.life and not case.inv.dispatches:
+                if not case.answered and not case.life and not case.invocation.dispatches:
                     self._refer(case)
         self._ORDERS[message[0]](self, *message[1:])
 
@@ -149,12 +149,12 @@
 
     def _rows(self, how: str, rows: list[list]) -> None:
         found = []
-        for ident, build, run, started, state, zone, cell, kind, weight, address in rows:
-            self.links.addresses[ident] = address
-            found.append(Row(ident, build, run, started, state, zone, cell, kind, weight))
+        for appliance_id, build, run, started, state, zone, cell, kind, weight, address in rows:
+            self.links.addresses[appliance_id] = address
+            found.append(Row(appliance_id, build, run, started, state, zone, cell, kind, weight))
         changed = self.roster.apply(how == "whole", found)
         for row in found:
-            self.appliances[mark_of(row)] = self.roster.appliances[row.ident]
+            self.appliances[mark_of(row)] = self.roster.appliances[row.id]
         self.appliances = {mark: a for mark, a in self.appliances.items() if a.state != ours.GONE}
         self.marks = {appliance: mark for mark, appliance in self.appliances.items()}
         self.links.listed(changed)
@@ -170,31 +170,31 @@
     ) -> Invocation:
         """As the Seat's."""
         now = self.clock.now()
-        inv = Invocation(
+        invocation = Invocation(
             next(self.idents),
             operation,
             min(arrived, now),
             arrived + min(limit, operation.time_limit),
             **facts,
         )
-        if self.silence.alone and self._can_stand_in(inv):
-            return self._hand_over(inv, call, limit, facts)
-        case = self.cases[inv.ident] = Case(inv, call, facts)
-        self._guard(inv, last_word(inv.expires, self.known["tick"], False))
+        if self.silence.alone and self._can_stand_in(invocation):
+            return self._hand_over(invocation, call, limit, facts)
+        case = self.cases[invocation.id] = Case(invocation, call, facts)
+        self._guard(invocation, last_word(invocation.deadline, self.settings["tick"], False))
         if self.decider is not None and not self.silence.alone:
             self._refer(case)
-        return inv
+        return invocation
 
     def _refer(self, case: Case) -> None:
-        inv, facts = case.inv, case.facts
+        invocation, facts = case.invocation, case.facts
         case.life = self.life
         self.decider.send(
             [
                 say.TAKE,
-                inv.ident,
-                self._index[inv.operation],
-                inv.taken,
-                inv.expires - inv.taken,
+                invocation.id,
+                self._index[invocation.operation],
+                invocation.arrived_at,
+                invocation.deadline - invocation.arrived_at,
                 facts.get("customer", ""),
                 facts.get("key"),
                 facts.get("hint", 0),
@@ -203,19 +203,19 @@
             ]
         )
 
-    def left(self, inv: Invocation) -> None:
+    def left(self, invocation: Invocation) -> None:
         """The client has gone; nothing is owed."""
-        case = self._case(inv)
+        case = self._case(invocation)
         if case is None:
             if self._understudy is not None:
-                self._understudy.left(inv)
+                self._understudy.left(invocation)
         elif not case.answered:
             self._withdraw(case)
 
     def _withdraw(self, case: Case) -> None:
         """It is answered, or owes nothing: the deciding part is told, and what is out is awaited in silence."""
-        case.answered = case.inv.concluded = True
-        self.note("withdrawn", level="debug", invocation=case.inv.ident)
+        case.answered = case.invocation.concluded = True
+        self.note("withdrawn", level="debug", invocation=case.invocation.id)
         self._gone_from_decider(case)
         self._tidy(case)
 
@@ -225,49 +225,55 @@
             self.decider.send([say.TOLD, message])
 
     # ---- orders ----
-    def _dispatch(self, ident: int, number: int, mark: str, patience: int, given: int, carrier: int) -> None:
-        case = self.cases.get(ident)
+    def _dispatch(
+        self, invocation_id: int, number: int, mark: str, patience: int, given: int, carrier: int
+    ) -> None:
+        case = self.cases.get(invocation_id)
         if case is not None:
             case.grants[number] = [mark, patience, given, given, carrier]
-        self._use(ident, number)
+        self._use(invocation_id, number)
 
-    def _use(self, ident: int, number: int) -> None:
+    def _use(self, invocation_id: int, number: int) -> None:
         """A grant is about to be used: now, never, or once it has been asked for anew."""
-        case = self.cases.get(ident)
+        case = self.cases.get(invocation_id)
         grant = case.grants.get(number) if case else None
         if grant is None:
-            self._report(ident, number, ours.MOOT)
+            self._report(invocation_id, number, ours.OBSOLETE)
             return
         mark, patience, decided, given, carrier = grant
-        now, inv, appliance = self.clock.now(), case.inv, self.appliances.get(mark)
-        owed = self._wanted(case) and now < min(inv.expires, decided + patience) and appliance is not None
-        holds = fate(now, given, self.known["tick"], owed)
+        now, invocation, appliance = self.clock.now(), case.invocation, self.appliances.get(mark)
+        owed = (
+            self._wanted(case)
+            and now < min(invocation.deadline, decided + patience)
+            and appliance is not None
+        )
+        holds = fate(now, given, self.settings["tick"], owed)
         if holds == GO:
             self._start(case, number, appliance, carrier, decided + patience - now, given)
         elif holds == ASK:
-            self.decider.send([say.MAY, ident, number])
+            self.decider.send([say.MAY, invocation_id, number])
         else:
             self._unused(case, number)
 
     def _wanted(self, case: Case) -> bool:
         """It still wants a dispatch: not once it has an answer, though the deciding part may not know yet."""
-        return not (case.answered or case.answers or case.inv.streaming)
+        return not (case.answered or case.answers or case.invocation.streaming)
 
     def _unused(self, case: Case, number: int) -> None:
         del case.grants[number]
         self._tidy(case)
-        self._report(case.inv.ident, number, ours.MOOT)
+        self._report(case.invocation.id, number, ours.OBSOLETE)
 
     def stale(self, dispatch: Dispatch) -> None:
         """The grant ran out on its way to the part that was to carry it; nothing has left."""
         case = self._case(dispatch.invocation)
-        if case is not None and dispatch.ended is None:
+        if case is not None and dispatch.result is None:
             case.attempts.pop(dispatch.number, None)
             if dispatch.number in case.grants and case.life == self.life != 0:
-                dispatch.ended = ours.MOOT
-                self.decider.send([say.MAY, case.inv.ident, dispatch.number])
+                dispatch.result = ours.OBSOLETE
+                self.decider.send([say.MAY, case.invocation.id, dispatch.number])
             else:
-                self.ended(dispatch, ours.MOOT)
+                self.ended(dispatch, ours.OBSOLETE)
 
     def ask_again(self, dispatch: Dispatch) -> None:
         """Whoever carries it has found a connection for it, later than the grant holds."""
@@ -281,19 +287,24 @@
     def _start(
         self, case: Case, number: int, appliance: Appliance, carrier: int, patience: int, given: int
     ) -> None:
-        dispatch = Dispatch(appliance, patience, None, case.inv, number, self.clock.now())
-        dispatch.learned = given
-        while len(case.inv.dispatches) <= number:  # those before that were never used stand as moot
-            moot = Dispatch(appliance, invocation=case.inv, number=len(case.inv.dispatches), ended=ours.MOOT)
-            case.inv.dispatches.append(moot)
-        case.inv.dispatches[number] = dispatch
+        dispatch = Dispatch(appliance, patience, None, case.invocation, number, self.clock.now())
+        dispatch.decision_state = given
+        while len(case.invocation.dispatches) <= number:  # those before that were never used stand as moot
+            moot = Dispatch(
+                appliance,
+                invocation=case.invocation,
+                number=len(case.invocation.dispatches),
+                result=ours.OBSOLETE,
+            )
+            case.invocation.dispatches.append(moot)
+        case.invocation.dispatches[number] = dispatch
         if carrier in (self.number, 0):
             case.attempts[number] = self.links.start(dispatch, case.call)
         else:
             case.attempts[number] = self.lending.lend(dispatch, case.call, carrier)
 
-    def _may_go(self, ident: int, number: int, goes: bool, given: int) -> None:
-        case = self.cases.get(ident)
+    def _may_go(self, invocation_id: int, number: int, goes: bool, given: int) -> None:
+        case = self.cases.get(invocation_id)
         if case is None:
             return
         grant, attempt = case.grants.get(number), case.attempts.get(number)
@@ -304,24 +315,24 @@
         if grant is not None and goes:
             grant[3] = given
         if attempt is not None:
-            attempt.dispatch.learned = given
+            attempt.dispatch.decision_state = given
             attempt.cleared(goes)
         else:
-            self._use(ident, number)
+            self._use(invocation_id, number)
 
-    def _cancel(self, ident: int, number: int, late: bool) -> None:
-        case = self.cases.get(ident)
+    def _cancel(self, invocation_id: int, number: int, late: bool) -> None:
+        case = self.cases.get(invocation_id)
         if case is None:
             return
         case.grants.pop(number, None)
         attempt = case.attempts.pop(number, None)
         if attempt is not None:
-            attempt.dispatch.ended = ours.TIMEOUT if late else ours.CANCELLED
+            attempt.dispatch.result = ours.TIMEOUT if late else ours.CANCELLED
             attempt.abandon(late)
         self._tidy(case)
 
-    def _answer(self, ident: int, how: int, figure: int) -> None:
-        case = self.cases.get(ident)
+    def _answer(self, invocation_id: int, how: int, figure: int) -> None:
+        case = self.cases.get(invocation_id)
         if case is None or case.answered:
             return
         if how == SUCCEED and figure not in case.answers:
@@ -332,7 +343,7 @@
 
     def _give(self, case: Case, how: int, figure: int) -> None:
         """The one final answer. figure: the dispatch whose answer it is, or advice when to come back."""
-        case.answered = case.inv.concluded = True
+        case.answered = case.invocation.concluded = True
         if how == SUCCEED:
             case.call.succeed(*case.answers.pop(figure))
         elif how == THROTTLE:
@@ -366,10 +377,10 @@
         case = self._case(dispatch.invocation)
         if case is None:
             return self._understudy is not None and self._understudy.leaves(dispatch)
-        owed = self._wanted(case) and dispatch.ended is None and dispatch.appliance.state == READY
-        holds = fate(self.clock.now(), dispatch.learned, self.known["tick"], owed)
+        owed = self._wanted(case) and dispatch.result is None and dispatch.appliance.state == READY
+        holds = fate(self.clock.now(), dispatch.decision_state, self.settings["tick"], owed)
         if holds == ASK and case.life == self.life != 0:
-            self.decider.send([say.MAY, case.inv.ident, dispatch.number])
+            self.decider.send([say.MAY, case.invocation.id, dispatch.number])
             return None
         return holds == GO
 
@@ -380,11 +391,11 @@
         case = self._case(dispatch.invocation)
         if case is None:
             return self._understudy is not None and self._understudy.begun(dispatch)
-        if case.answered or case.inv.streaming:
+        if case.answered or case.invocation.streaming:
             return False
-        case.inv.streaming = True
+        case.invocation.streaming = True
         if case.life and case.life == self.life:
-            self.decider.send([say.BEGUN, case.inv.ident])
+            self.decider.send([say.BEGUN, case.invocation.id])
         return True
 
     def ended(
@@ -404,24 +415,26 @@
             if self._understudy is not None:
                 self._understudy.ended(dispatch, how, load, answer, passed)
             return
-        if dispatch.ended is not None:
+        if dispatch.result is not None:
             return
-        dispatch.ended = how
+        dispatch.result = how
         case.attempts.pop(dispatch.number, None)
         case.grants.pop(dispatch.number, None)
         given = False
         if how == ours.SUCCEEDED and not case.answered:
             case.answers[dispatch.number] = answer or ((), [], ())
-            if given := not must_wait(self.known, case.inv):  # as the Seat: the first success is the answer
+            if given := not must_wait(
+                self.settings, case.invocation
+            ):  # as the Seat: the first success is the answer
                 self._give(case, SUCCEED, dispatch.number)
         if case.life and case.life == self.life:
             lag = max(0, self.clock.now() - self.clock.arrived())
             if how == ours.SUCCEEDED and not given:  # binds, though the dispatch was given up on meanwhile
-                self.decider.send([say.BOUND, case.inv.key, dispatch.appliance.build])
+                self.decider.send([say.BOUND, case.invocation.key, dispatch.appliance.build])
             self.decider.send(
                 [
                     say.ENDED,
-                    case.inv.ident,
+                    case.invocation.id,
                     dispatch.number,
                     CODES[how],
                     dict(load) if load else None,
@@ -443,25 +456,25 @@
                 [say.PROBED, self.marks.get(appliance), answered, took, dict(load) if load else None]
             )
 
-    def _report(self, ident: int, number: int, how: str) -> None:
+    def _report(self, invocation_id: int, number: int, how: str) -> None:
         if self.decider is not None:
-            self.decider.send([say.ENDED, ident, number, CODES[how], None, False, 0, False])
+            self.decider.send([say.ENDED, invocation_id, number, CODES[how], None, False, 0, False])
 
-    def _case(self, inv: Invocation) -> Case | None:
-        case = self.cases.get(inv.ident)
-        return case if case is not None and case.inv is inv else None
+    def _case(self, invocation: Invocation) -> Case | None:
+        case = self.cases.get(invocation.id)
+        return case if case is not None and case.invocation is invocation else None
 
     def _tidy(self, case: Case) -> None:
         if case.answered and not case.attempts and not case.grants:
-            self.cases.pop(case.inv.ident, None)
-            case.inv.dispatches = []  # no cycle is left to the collector
+            self.cases.pop(case.invocation.id, None)
+            case.invocation.dispatches = []  # no cycle is left to the collector
 
     # ---- without the deciding part ----
     def _rule(self, case: Case) -> None:
         """Nobody else will: what has succeeded is passed on, what is out is awaited, the rest is given up as the
         decisions say. One that was never dispatched is theirs who come next, or the understudy's."""
-        inv = case.inv
-        if case.answered or not inv.dispatches:
+        invocation = case.invocation
+        if case.answered or not invocation.dispatches:
             return
         if case.answers:
             self._release(case)
@@ -475,38 +488,38 @@
 
     def bind(self, key: str | None, build: int) -> None:
         """A key may have been answered by that build, and whoever holds the call may not live to say so."""
-        if self.known["one_way"] and key and self.decider is not None:
+        if self.settings["one_way"] and key and self.decider is not None:
             self.decider.send([say.BOUND, key, build])
             self.decider.flush()
 
     def _give_up(self, case: Case) -> None:
-        if case.inv.streaming:
+        if case.invocation.streaming:
             self._give(case, TERMINATE, 0)
             self._gone_from_decider(case)
             return
-        match self.understudy.engine.agent.give_up(case.inv):
+        match self.understudy.engine.agent.give_up(case.invocation):
             case Throttle(retry_after):
                 self._give(case, THROTTLE, retry_after)
             case _:
                 self._give(case, TERMINATE, 0)
-        self.note("gave_up", level="debug", invocation=case.inv.ident)
+        self.note("gave_up", level="debug", invocation=case.invocation.id)
         self._gone_from_decider(case)
 
     def _gone_from_decider(self, case: Case) -> None:
         if case.life and case.life == self.life:
-            self.decider.send([say.LEFT, case.inv.ident])
-        elif self.known["may_cancel"]:
+            self.decider.send([say.LEFT, case.invocation.id])
+        elif self.settings["may_cancel"]:
             for number in list(case.attempts):
-                self._cancel(case.inv.ident, number, False)
+                self._cancel(case.invocation.id, number, False)
 
-    def _can_stand_in(self, inv: Invocation) -> bool:
-        return bool(self.appliances) and may_stand_in(self.known, inv)
+    def _can_stand_in(self, invocation: Invocation) -> bool:
+        return bool(self.appliances) and may_stand_in(self.settings, invocation)
 
     @property
     def understudy(self) -> Seat:
         if self._understudy is None:
-            known = understudy_known(self.known, self.parts)
-            self._understudy = Seat(self, known, self.seed)
+            settings = understudy_known(self.settings, self.parts)
+            self._understudy = Seat(self, settings, self.seed)
         return self._understudy
 
     def _prepare(self) -> None:
@@ -514,16 +527,20 @@
         seat, now = self.understudy, self.clock.now()
         seat.enter()
         agent = seat.engine.agent
-        if self.stage is not None and (agent.stage is None or agent.stage.word != self.stage.word):
-            agent.on_stage(Stage(*self.stage.word, 0.0, self.stage.age + now - self.told_at))
-        may = [a for a in self.roster.appliances.values() if may_meet_alone(self.known, a, now)]
+        if self.stage is not None and (agent.stage is None or agent.stage.identity != self.stage.identity):
+            agent.on_stage(Stage(*self.stage.identity, 0.0, self.stage.age + now - self.told_at))
+        may = [a for a in self.roster.appliances.values() if may_meet_alone(self.settings, a, now)]
         agent.fleet = []
         agent.on_list("whole", may)
-        seat.engine.settle()
+        seat.engine.resume_woken()
 
-    def _hand_over(self, inv: Invocation, call: ClientCall, limit: int, facts: dict[str, Any]) -> Invocation:
-        taken = self.understudy.take(call, inv.operation, inv.taken, limit, ident=inv.ident, **facts)
-        call.inv = taken
+    def _hand_over(
+        self, invocation: Invocation, call: ClientCall, limit: int, facts: dict[str, Any]
+    ) -> Invocation:
+        taken = self.understudy.take(
+            call, invocation.operation, invocation.arrived_at, limit, invocation_id=invocation.id, **facts
+        )
+        call.invocation = taken
         return taken
 
     def _go_alone(self) -> None:
@@ -538,48 +555,48 @@
         for case in list(self.cases.values()):
             if case.answered:
                 continue
-            if case.inv.dispatches or case.grants:
+            if case.invocation.dispatches or case.grants:
                 self._rule(case)
-            elif self._can_stand_in(case.inv):
+            elif self._can_stand_in(case.invocation):
                 if case.life and case.life == self.life:
-                    self.decider.send([say.LEFT, case.inv.ident])
-                del self.cases[case.inv.ident]
-                left = case.inv.expires - case.inv.taken
-                self._hand_over(case.inv, case.call, left, case.facts)
+                    self.decider.send([say.LEFT, case.invocation.id])
+                del self.cases[case.invocation.id]
+                left = case.invocation.deadline - case.invocation.arrived_at
+                self._hand_over(case.invocation, case.call, left, case.facts)
 
     # ---- time ----
     def _tick(self) -> None:
         """Once a tick: whether the deciding part is heard."""
         now = self.clock.now()
-        if stood_still(now, self._ticked, self.known["tick"], self.clock.heartbeat):
+        if stood_still(now, self._ticked, self.settings["tick"], self.clock.heartbeat):
             self._woke = now
         self._ticked = now
         if self.silence.look(now, self._woke):
             self._go_alone()
-        self.loop.call_later(self.known["tick"] / 1e6, self._tick)
+        self.loop.call_later(self.settings["tick"] / 1e6, self._tick)
 
-    def _guard(self, inv: Invocation, due: int) -> None:
-        heapq.heappush(self._dues, (due, inv.ident))
+    def _guard(self, invocation: Invocation, due: int) -> None:
+        heapq.heappush(self._dues, (due, invocation.id))
         self._watch.ask(due)
 
     def _look(self) -> None:
         """At what is running out of time."""
         now = self.clock.now()
         while self._dues and self._dues[0][0] <= now:
-            _, ident = heapq.heappop(self._dues)
-            case = self.cases.get(ident)
+            _, invocation_id = heapq.heappop(self._dues)
+            case = self.cases.get(invocation_id)
             if case is None or case.answered:
                 continue
             decided = case.life == self.life != 0 and not self.silence.alone
-            due = last_word(case.inv.expires, self.known["tick"], decided)
+            due = last_word(case.invocation.deadline, self.settings["tick"], decided)
             if now < due:
-                self._guard(case.inv, due)
+                self._guard(case.invocation, due)
             else:
                 self._in_time(case)
 
     def _in_time(self, case: Case) -> None:
         """The client's time is all but up, and no word has come."""
-        if case.answers and not case.inv.streaming:
+        if case.answers and not case.invocation.streaming:
             self._release(case)
         else:
             self._give_up(case)
@@ -624,4 +641,4 @@
 
 def mark_of(row: Row) -> str:
     """By which the parts know one start of one appliance."""
-    return f"{row.ident}/{row.build}/{row.run}"
+    return f"{row.id}/{row.build}/{row.run}"
--- a/cartweir/cores/division.py
+++ b/cartweir/cores/division.py
@@ -58,23 +58,23 @@
         self._may.clear()
         self.shares.pop(number, None)
 
-    def may_carry(self, ident: str) -> frozenset[int]:
+    def may_carry(self, appliance_id: str) -> frozenset[int]:
         """Those that may connect to an appliance: all, or, where it takes fewer connections than there are parts, the
         first by rendezvous hashing of those that live, so that a death moves but what was its own."""
-        may = self._may.get(ident)
+        may = self._may.get(appliance_id)
         if may is None:
             ranked = sorted(
-                self.shares, key=lambda n: blake2b(f"{ident}/{n}".encode(), digest_size=8).digest()
+                self.shares, key=lambda n: blake2b(f"{appliance_id}/{n}".encode(), digest_size=8).digest()
             )
-            may = self._may[ident] = frozenset(
+            may = self._may[appliance_id] = frozenset(
                 ranked if self.connections >= self.parts else ranked[: self.connections]
             )
         return may
 
-    def carrier(self, holder: Share, ident: str, now: int) -> Share:
+    def carrier(self, holder: Share, appliance_id: str, now: int) -> Share:
         """The part that holds the call spares a hop. Guards against one connection with all the traffic: its part
         sends away what others have more time for."""
-        may = self.may_carry(ident)
+        may = self.may_carry(appliance_id)
         others = [
             share
             for share in self.shares.values()
@@ -87,9 +87,9 @@
             return holder
         return idlest
 
-    def prober(self, ident: str, now: int) -> Share | None:
+    def prober(self, appliance_id: str, now: int) -> Share | None:
         """Whoever may connect, is awake and has least to do."""
-        may = self.may_carry(ident)
+        may = self.may_carry(appliance_id)
         return min(
             (s for s in self.shares.values() if s.number in may and now - s.heard <= FRESH),
             key=lambda share: (share.out, share.number),
@@ -129,14 +129,14 @@
     return expires - (3 * tick // 2 if decided else 2 * tick)
 
 
-def understudy_known(known: Mapping[str, Any], parts: int) -> dict[str, Any]:
+def understudy_known(settings: Mapping[str, Any], parts: int) -> dict[str, Any]:
     """Settings of the decisions where one part goes on alone: nothing is free at a build on trial and no cap is known,
     so none of it is met; limits are a part's; it has no voice among agents."""
     return {
-        **known,
+        **settings,
         "free": 0.0,
-        "caps": tuple(0.0 for _ in known["caps"]),
-        "agents": known["agents"] * parts,
+        "caps": tuple(0.0 for _ in settings["caps"]),
+        "agents": settings["agents"] * parts,
         "may_message": False,
         "may_probe": False,
         "must_ask": False,
@@ -145,22 +145,24 @@
     }
 
 
-def may_stand_in(known: Mapping[str, Any], inv: Invocation) -> bool:
+def may_stand_in(settings: Mapping[str, Any], invocation: Invocation) -> bool:
     """What a part may take by itself. Where a key may have been answered by the newest build, only the deciding
     part knows which was: such an invocation waits for it."""
-    return not (known["one_way"] and inv.key)
+    return not (settings["one_way"] and invocation.key)
 
 
-def may_meet_alone(known: Mapping[str, Any], appliance: Appliance, now: int) -> bool:
+def may_meet_alone(settings: Mapping[str, Any], appliance: Appliance, now: int) -> bool:
     """Cold ones get their part of all that is taken, which nobody counts meanwhile."""
-    cold = known["cold_share"] < 1.0 and appliance.started and now - appliance.started < known["warm_time"]
+    cold = (
+        settings["cold_share"] < 1.0 and appliance.started and now - appliance.started < settings["warm_time"]
+    )
     return appliance.state == READY and not cold
 
 
-def must_wait(known: Mapping[str, Any], inv: Invocation) -> bool:
+def must_wait(settings: Mapping[str, Any], invocation: Invocation) -> bool:
     """An answer that binds its key is passed on once the deciding part knows of it, lest the client's next call of the
     key be quicker. Any other goes to its client as it comes."""
-    return bool(known["one_way"] and inv.key)
+    return bool(settings["one_way"] and invocation.key)
 
 
 def accept_after(connections: int) -> int:
@@ -168,10 +170,10 @@
     return min(connections, 32) * 300
 
 
-def binds(known: Mapping[str, Any], stage: Stage | None, key: str | None, build: int) -> bool:
+def binds(settings: Mapping[str, Any], stage: Stage | None, key: str | None, build: int) -> bool:
     """Whether a dispatch of a key may end in its being answered by the newest build, which binds it: written down when
     it is granted, since whoever gets the answer may not live to tell of it."""
-    return bool(known["one_way"] and key and stage) and build >= stage.build + (stage.phase != ON_TRIAL)
+    return bool(settings["one_way"] and key and stage) and build >= stage.build + (stage.phase != ON_TRIAL)
 
 
 # ---- watching parts: by the supervisor --------------------------------------------------------------------------
--- a/cartweir/cores/lending.py
+++ b/cartweir/cores/lending.py
@@ -27,7 +27,7 @@
 class Desk(Protocol):
     """What both ends need of the part they belong to."""
 
-    known: Mapping[str, Any]
+    settings: Mapping[str, Any]
     clock: Clock
     links: Any
     loop: Any
@@ -54,7 +54,7 @@
 
     def __init__(self, lending: Lending, dispatch: Dispatch, call: ClientCall, pipe: Pipe) -> None:
         self.lending, self.dispatch, self.call, self.pipe = lending, dispatch, call, pipe
-        self.key = (dispatch.invocation.ident, dispatch.number)
+        self.key = (dispatch.invocation.id, dispatch.number)
         self.passing = False
 
     # ---- as an Attempt ----
@@ -64,7 +64,7 @@
 
     def cleared(self, goes: bool) -> None:
         """The deciding part has answered what the carrier asked."""
-        self.pipe.send([say.GOES, *self.key, goes, self.dispatch.learned])
+        self.pipe.send([say.GOES, *self.key, goes, self.dispatch.decision_state])
 
     # ---- as a Stream ----
     def taken(self, size: int) -> None:
@@ -110,21 +110,21 @@
     def lend(self, dispatch: Dispatch, call: ClientCall, carrier: int) -> Any:
         pipe = self.pipes.get(carrier)
         if pipe is None or pipe.closed:
-            self.desk.loop.add_callback(self.desk.ended, dispatch, ours.MOOT)  # it never left
+            self.desk.loop.add_callback(self.desk.ended, dispatch, ours.OBSOLETE)  # it never left
             return _Nowhere(dispatch)
-        inv = dispatch.invocation
-        afar = self.afar[inv.ident, dispatch.number] = Afar(self, dispatch, call, pipe)
+        invocation = dispatch.invocation
+        afar = self.afar[invocation.id, dispatch.number] = Afar(self, dispatch, call, pipe)
         pipe.send(
             [
                 say.CARRY,
-                inv.ident,
+                invocation.id,
                 dispatch.number,
                 self.desk.marks.get(dispatch.appliance),
-                dispatch.patience,
-                dispatch.learned,
-                inv.expires,
-                inv.operation.stream,
-                inv.key,
+                dispatch.timeout,
+                dispatch.decision_state,
+                invocation.deadline,
+                invocation.operation.stream,
+                invocation.key,
                 call.asked.path,
                 [list(pair) for pair in call.asked.metadata],
                 call.body,
@@ -134,8 +134,8 @@
 
     def heard(self, number: int, message: list) -> None:
         """From another part."""
-        kind, ident, dispatch, *rest = message
-        key = (ident, dispatch)
+        kind, invocation_id, dispatch, *rest = message
+        key = (invocation_id, dispatch)
         if kind == say.CARRY:
             self._carry(self.pipes[number], key, *rest)
         elif kind in (say.DROP, say.ROOM, say.GOES):
@@ -187,15 +187,15 @@
         if (
             appliance is None
             or appliance.state != READY
-            or fate(now, given, desk.known["tick"], now < expires) != GO
+            or fate(now, given, desk.settings["tick"], now < expires) != GO
         ):
             pipe.send([say.CARRIED, *key, STALE, None, None, False])
             return
         call = Borrowed(pipe, Asked(path, None, b"", [tuple(pair) for pair in metadata]), body)
         call.key = key
-        inv = Invocation(key[0], desk.shapes[stream], now, expires, key=about)
-        dispatch = Dispatch(appliance, patience, None, inv, key[1], now)
-        dispatch.learned = given
+        invocation = Invocation(key[0], desk.shapes[stream], now, expires, key=about)
+        dispatch = Dispatch(appliance, patience, None, invocation, key[1], now)
+        dispatch.decision_state = given
         self.carried[dispatch] = call
         self._by_key[key] = dispatch
         call.attempt = desk.links.start(dispatch, call)
@@ -210,7 +210,7 @@
             if call.stream is not None:
                 call.stream.taken(rest[0])
         else:
-            goes, dispatch.learned = rest
+            goes, dispatch.decision_state = rest
             call.attempt.cleared(goes)
 
     def has(self, dispatch: Dispatch) -> bool:
@@ -219,8 +219,8 @@
     def leaves(self, dispatch: Dispatch) -> bool | None:
         call = self.carried[dispatch]
         now = self.desk.clock.now()
-        owed = now < dispatch.invocation.expires and dispatch.appliance.state == READY
-        if fate(now, dispatch.learned, self.desk.known["tick"], owed) == GO:
+        owed = now < dispatch.invocation.deadline and dispatch.appliance.state == READY
+        if fate(now, dispatch.decision_state, self.desk.settings["tick"], owed) == GO:
             return True
         if not owed:
             return False
--- a/cartweir/cores/part.py
+++ b/cartweir/cores/part.py
@@ -101,12 +101,12 @@
         tap = role.open_tap()
         self.links = Links(reach_of(document, agent.cores), self.clock.now, self.note, tap)
         operations = operations_of(document)
-        known = {**document.decision_settings(), "operations": operations}
+        settings = {**document.decision_settings(), "operations": operations}
         # numbers of invocations that no other part and no other life uses
         idents = itertools.count((role.life * agent.cores + role.number - 1) * LIVES + 1)
         seed = (agent.seed or int.from_bytes(os.urandom(4), "big")) * 1000 + role.number
         self.desk = self.links.seat = Desk(
-            role.number, agent.cores, known, self.clock, self.links, self.note, idents, seed
+            role.number, agent.cores, settings, self.clock, self.links, self.note, idents, seed
         )
         bounds = bounds_of(document)
         bounds.connections = math.ceil(bounds.connections / agent.cores)
--- a/cartweir/drill/adapter.py
+++ b/cartweir/drill/adapter.py
@@ -20,7 +20,7 @@
     521: ours.UNCONNECTED,
     520: ours.RESET,
     444: ours.CANCELLED,
-    409: ours.MOOT,
+    409: ours.OBSOLETE,
 }
 ANSWERS = {200: "ok", 409: "moot", 429: "full", 502: "error", 408: "timeout"}
 PHASES = (ours.ON_TRIAL, ours.GOING_BACK, ours.RELEASED, ours.WITHDRAWN)
@@ -55,9 +55,9 @@
         self.name, self.out = name, out
         self.roster = Roster()
         self.invocations: dict[int, Invocation] = {}
-        known = known_from(params)
-        self.operations = {operation.name: operation for operation in known["operations"]}
-        self.engine = Engine(now, seed, known, self)
+        settings = known_from(params)
+        self.operations = {operation.name: operation for operation in settings["operations"]}
+        self.engine = Engine(now, seed, settings, self)
 
     # ---- out ----
     def _say(self, message: str, **members: Any) -> None:
@@ -66,21 +66,21 @@
     def dispatch(self, dispatch: Dispatch) -> None:
         self._say(
             "SEND",
-            requestId=dispatch.invocation.ident,
-            appliance=dispatch.appliance.ident,
-            tryFor=milliseconds(dispatch.patience) if dispatch.patience else None,
+            requestId=dispatch.invocation.id,
+            appliance=dispatch.appliance.id,
+            tryFor=milliseconds(dispatch.timeout) if dispatch.timeout else None,
         )
 
     def cancel(self, dispatch: Dispatch) -> None:
-        self._say("STOP_ATTEMPT", requestId=dispatch.invocation.ident, shot=dispatch.number)
+        self._say("STOP_ATTEMPT", requestId=dispatch.invocation.id, shot=dispatch.number)
 
-    def throttle(self, inv: Invocation, retry_after: int) -> None:
+    def throttle(self, invocation: Invocation, retry_after: int) -> None:
         self._say(
-            "PUSH_BACK", requestId=inv.ident, stayAway=milliseconds(retry_after) if retry_after else None
+            "PUSH_BACK", requestId=invocation.id, stayAway=milliseconds(retry_after) if retry_after else None
         )
 
-    def terminate(self, inv: Invocation) -> None:
-        self._say("END_FAILED", requestId=inv.ident)
+    def terminate(self, invocation: Invocation) -> None:
+        self._say("END_FAILED", requestId=invocation.id)
 
     def set_timer(self, due: int) -> None:
         self._say("SLEEP", dueAt=milliseconds(due), ref=0)
@@ -98,7 +98,7 @@
         self._say("RELOAD")
 
     def probe(self, appliance: Appliance) -> None:
-        self._say("CHECK", appliance=appliance.ident)
+        self._say("CHECK", appliance=appliance.id)
 
     def message(self, to: int | None, figures: list[int]) -> None:
         self._say("NOTIFY", addressee="*" if to is None else to, body=" ".join(map(str, figures)).encode())
@@ -112,7 +112,7 @@
         operation = self.operations.get(row["service"])
         if operation is None:
             raise WireError(f"line {number}: INGRESS: service {row['service'][:40]!r} is not in the settings")
-        inv = Invocation(
+        invocation = Invocation(
             row["requestId"],
             operation,
             now,
@@ -123,35 +123,39 @@
             row.get("retry", False),
             row.get("update", False),
         )
-        self.invocations[inv.ident] = inv
-        self.engine.take(inv)
-        self._forget(inv)
+        self.invocations[invocation.id] = invocation
+        self.engine.accept(invocation)
+        self._forget(invocation)
 
-    def _forget(self, inv: Invocation) -> None:
-        if inv.concluded and all(dispatch.ended for dispatch in inv.dispatches):
-            self.invocations.pop(inv.ident, None)
+    def _forget(self, invocation: Invocation) -> None:
+        if invocation.concluded and all(dispatch.result for dispatch in invocation.dispatches):
+            self.invocations.pop(invocation.id, None)
 
     def completed(self, row: dict[str, Any]) -> None:
-        inv = self.invocations.get(row["requestId"])
+        invocation = self.invocations.get(row["requestId"])
         shot = row.get("shot", 0)
-        if inv is None or not 0 <= shot < len(inv.dispatches) or inv.dispatches[shot].ended:
+        if (
+            invocation is None
+            or not 0 <= shot < len(invocation.dispatches)
+            or invocation.dispatches[shot].result
+        ):
             return
-        self.engine.outcome(
+        self.engine.dispatch_ended(
             Outcome(
-                inv.dispatches[shot],
+                invocation.dispatches[shot],
                 OUTCOMES.get(row["verdict"], ours.ERROR),
                 row.get("rtt", 0),
                 row.get("complete", False),
                 _load(row),
             )
         )
-        self._forget(inv)
+        self._forget(invocation)
 
     def expired(self, row: dict[str, Any]) -> None:
-        inv = self.invocations.get(row["requestId"])
-        if inv is not None and not inv.concluded:
-            self.engine.expired(inv)
-            self._forget(inv)
+        invocation = self.invocations.get(row["requestId"])
+        if invocation is not None and not invocation.concluded:
+            self.engine.client_left(invocation)
+            self._forget(invocation)
 
     def handle(self, number: int, message: str, row: dict[str, Any], rows: list[Row]) -> None:
         agent, appliance = self.engine.agent, self.roster.appliances.get(row.get("appliance", ""))
@@ -163,7 +167,7 @@
             case "EXPIRED":
                 self.expired(row)
             case "TIMEOUT_FIRED":
-                self.engine.alarm()
+                self.engine.run_timers()
             case "REGISTRY":
                 if row["how"] not in LISTS:
                     raise WireError(f"line {number}: REGISTRY: how is malformed ({row['how'][:40]!r})")
@@ -206,11 +210,11 @@
                 agent.on_message(row["who"], [int(field) for field in fields if field.isdigit()])
             case "SAMPLED":
                 if appliance is not None:
-                    self.engine.probed(appliance, row["verdict"] == 200, row.get("rtt", 0), _load(row))
+                    self.engine.probe_ended(appliance, row["verdict"] == 200, row.get("rtt", 0), _load(row))
             case "UNDER_WAY":
-                inv = self.invocations.get(row["requestId"])
-                if inv is not None:
-                    inv.streaming = True
+                invocation = self.invocations.get(row["requestId"])
+                if invocation is not None:
+                    invocation.streaming = True
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
@@ -234,7 +238,7 @@
             raise WireError(f"line {number}: {message} outside a batch")
         if message == "OVER_TO_YOU":
             for name, seat in touched.items():
-                _guarded(name, seat.engine.settle, out)
+                _guarded(name, seat.engine.resume_woken, out)
             touched.clear()
             out.append("ACK\n")
             sink.write("\n".join(out))
@@ -269,7 +273,7 @@
                 if row.get("sheet") not in sheets:
                     raise WireError(f"line {number}: REGISTRY: sheet {row.get('sheet')} was never sent")
                 rows = sheets[row["sheet"]]
-            seat.engine.enter(now)
+            seat.engine.advance_to(now)
             touched[name] = seat
             _guarded(name, lambda: seat.handle(number, message, row, rows), out)
     if now is not None:
--- a/cartweir/engine.py
+++ b/cartweir/engine.py
@@ -13,13 +13,13 @@
 from .logic import Agent
 
 
-class Door(Protocol):
+class ActionSink(Protocol):
     """Carries the instance's actions out to the world."""
 
     def dispatch(self, dispatch: Dispatch) -> None: ...
     def cancel(self, dispatch: Dispatch) -> None: ...
-    def throttle(self, inv: Invocation, retry_after: int) -> None: ...
-    def terminate(self, inv: Invocation) -> None: ...
+    def throttle(self, invocation: Invocation, retry_after: int) -> None: ...
+    def terminate(self, invocation: Invocation) -> None: ...
     def set_timer(self, due: int) -> None: ...
     def log(self, text: str) -> None: ...
     def vote(self, build: int, stage: int, verdict: str) -> None: ...
@@ -32,11 +32,11 @@
 class Engine:
     """One instance. The door's actions of the same names are offered to the decisions as they are."""
 
-    def __init__(self, now: int, seed: int, known: Mapping[str, Any], door: Door) -> None:
+    def __init__(self, now: int, seed: int, settings: Mapping[str, Any], sink: ActionSink) -> None:
         self.now, self.lag = now, 0
-        self.door = door
-        self.log, self.vote, self.subscribe = door.log, door.vote, door.subscribe
-        self.fetch_list, self.message = door.fetch_list, door.message
+        self.sink = sink
+        self.log, self.vote, self.subscribe = sink.log, sink.vote, sink.subscribe
+        self.fetch_list, self.message = sink.fetch_list, sink.message
         self._timers: list[tuple[int, int, Callable[[], None]]] = []
         self._order = self._turns = 0
         self._waits: dict[
@@ -45,15 +45,15 @@
         self._woken: deque[int] = deque()
         self._probing: list[tuple[Invocation, int, list[Appliance]]] = []
         self._next_alarm: int | None = None
-        self.agent = Agent(self, known, random.Random(seed))
+        self.agent = Agent(self, settings, random.Random(seed))
 
     # ---- the clock ----
-    def at(self, due: int, do: Callable[[], None]) -> None:
+    def call_at(self, due: int, do: Callable[[], None]) -> None:
         self._order += 1
         heapq.heappush(self._timers, (due, self._order, do))
         self._arm()
 
-    def enter(self, now: int) -> None:
+    def advance_to(self, now: int) -> None:
         """The clock moves on: a timer that is overdue by then tells of a stall."""
         if now != self.now:
             self.lag = max(0, now - self._timers[0][0]) if self._timers else 0
@@ -62,9 +62,9 @@
     def _arm(self) -> None:
         if self._timers and (self._next_alarm is None or self._timers[0][0] < self._next_alarm):
             self._next_alarm = max(self._timers[0][0], self.now)
-            self.door.set_timer(self._next_alarm)
+            self.sink.set_timer(self._next_alarm)
 
-    def alarm(self) -> None:
+    def run_timers(self) -> None:
         """A timer has fired: run what is due. A stale one finds nothing to run."""
         if self._next_alarm is not None and self._next_alarm <= self.now:
             self._next_alarm = None
@@ -75,96 +75,98 @@
         finally:  # a fault in one of them withholds none of the others
             self._arm()
 
-    def overdue(self) -> None:
+    def run_overdue_timers(self) -> None:
         """Run what should have run before the event in hand, without waiting for its alarm."""
         if self._timers and self._timers[0][0] <= self.now:
-            self.alarm()
+            self.run_timers()
 
     # ---- invocations ----
-    def take(self, inv: Invocation) -> None:
-        inv.steps = self.agent.handle(inv)
-        self._resume(inv, None)
+    def accept(self, invocation: Invocation) -> None:
+        invocation.generator = self.agent.handle(invocation)
+        self._resume(invocation, None)
 
-    def outcome(self, outcome: Outcome) -> None:
+    def dispatch_ended(self, outcome: Outcome) -> None:
         dispatch = outcome.dispatch
-        inv = dispatch.invocation
-        dispatch.ended = outcome.how
+        invocation = dispatch.invocation
+        dispatch.result = outcome.result
         if outcome.complete:
-            inv.concluded = True
+            invocation.concluded = True
         self.agent.observe(outcome)
-        if inv.steps is not None:
-            self._resume(inv, outcome)
+        if invocation.generator is not None:
+            self._resume(invocation, outcome)
 
-    def probed(
+    def probe_ended(
         self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
     ) -> None:
         self.agent.on_probe(appliance, answered, took, load)
         if answered:
             self._woken.extend(turn for _, turn, asked in self._probing if appliance in asked)
 
-    def leaves(self, dispatch: Dispatch) -> bool:
+    def may_send(self, dispatch: Dispatch) -> bool:
         """A dispatch that had to wait outside could go out now. False: it must not any more."""
-        return self.agent.leaves(dispatch)
+        return self.agent.may_send(dispatch)
 
-    def expired(self, inv: Invocation) -> None:
+    def client_left(self, invocation: Invocation) -> None:
         """The client has left; nothing more is owed."""
-        inv.concluded = True
-        if inv.steps is not None:
-            self._resume(inv, None)
+        invocation.concluded = True
+        if invocation.generator is not None:
+            self._resume(invocation, None)
 
-    def broken(self, inv: Invocation) -> bool:
+    def is_broken(self, invocation: Invocation) -> bool:
         """A fault has ended its generator, or keeps it from ever being resumed."""
-        return inv.steps is None or not (inv.steps.gi_running or self._waits.get(inv.turn) is inv)
+        return invocation.generator is None or not (
+            invocation.generator.gi_running or self._waits.get(invocation.wait_id) is invocation
+        )
 
-    def wake(self, inv: Invocation) -> None:
+    def wake(self, invocation: Invocation) -> None:
         """Resume a waiting invocation once the event in hand has been dealt with."""
-        self._woken.append(inv.turn)
+        self._woken.append(invocation.wait_id)
 
-    def settle(self) -> None:
+    def resume_woken(self) -> None:
         """To be called when the events in hand have been dealt with."""
         while self._woken:
             self._rouse(self._woken.popleft())
 
     def _rouse(self, turn: int) -> None:
-        inv = self._waits.get(turn)
-        if inv is not None:
-            self._resume(inv, None)
+        invocation = self._waits.get(turn)
+        if invocation is not None:
+            self._resume(invocation, None)
 
-    def _resume(self, inv: Invocation, value: Outcome | None) -> None:
-        self._waits.pop(inv.turn, None)
+    def _resume(self, invocation: Invocation, value: Outcome | None) -> None:
+        self._waits.pop(invocation.wait_id, None)
         self._turns += 1
-        inv.turn = self._turns
+        invocation.wait_id = self._turns
         while True:
             try:
-                wish = inv.steps.send(value)
+                wish = invocation.generator.send(value)
             except StopIteration:
-                inv.steps = None
+                invocation.generator = None
                 return
             value = None
             match wish:
                 case Dispatch():
-                    wish.invocation, wish.number, wish.sent = inv, len(inv.dispatches), self.now
-                    inv.dispatches.append(wish)
-                    self.door.dispatch(wish)
+                    wish.invocation, wish.number, wish.sent = invocation, len(invocation.dispatches), self.now
+                    invocation.dispatches.append(wish)
+                    self.sink.dispatch(wish)
                 case Wait():
                     pass
                 case Probe(appliances):
-                    self._probing = [waiting for waiting in self._probing if waiting[0].turn == waiting[1]]
-                    self._probing.append((inv, inv.turn, appliances))
+                    self._probing = [waiting for waiting in self._probing if waiting[0].wait_id == waiting[1]]
+                    self._probing.append((invocation, invocation.wait_id, appliances))
                     for appliance in appliances:
-                        self.door.probe(appliance)
+                        self.sink.probe(appliance)
                 case Cancel(dispatch):
-                    self.door.cancel(dispatch)
+                    self.sink.cancel(dispatch)
                     continue
                 case Throttle(retry_after):
-                    inv.concluded = True
-                    self.door.throttle(inv, retry_after)
+                    invocation.concluded = True
+                    self.sink.throttle(invocation, retry_after)
                     continue
                 case Terminate():
-                    inv.concluded = True
-                    self.door.terminate(inv)
+                    invocation.concluded = True
+                    self.sink.terminate(invocation)
                     continue
-            self._waits[inv.turn] = inv
+            self._waits[invocation.wait_id] = invocation
             if wish.until is not None:
-                self.at(wish.until, partial(self._rouse, inv.turn))
+                self.call_at(wish.until, partial(self._rouse, invocation.wait_id))
             return
--- a/cartweir/faults/light.py
+++ b/cartweir/faults/light.py
@@ -21,7 +21,7 @@
     """As much of a seat as news needs."""
 
     def __init__(self, stages: int, follow: Callable[[Stage], None]) -> None:
-        self.known, self.operations = {"caps": (0.0,) * stages}, {}
+        self.settings, self.operations = {"caps": (0.0,) * stages}, {}
         self._follow = follow
 
     def staged(self, stage: Stage) -> None:
@@ -99,7 +99,7 @@
         self.stamp = stamp
 
     def _follow(self, stage: Stage) -> None:
-        if stage.answer not in (None, "ok"):
+        if stage.vote_answer not in (None, "ok"):
             return
         new = self.stage is None or (stage.build, stage.number, stage.phase) != (
             self.stage.build,
--- a/cartweir/hosting/known.py
+++ b/cartweir/hosting/known.py
@@ -179,20 +179,20 @@
 
 def known_from(params: dict[str, Any]) -> dict[str, Any]:
     """The settings as a plain map of our names to values. Raises SettingError."""
-    known = {name: _setting(params, *where) for name, where in SETTINGS.items()}
-    known["operations"] = tuple(_operation(row, place) for place, row in _rows(params, "classes"))
-    known["quotas"] = {
+    settings = {name: _setting(params, *where) for name, where in SETTINGS.items()}
+    settings["operations"] = tuple(_operation(row, place) for place, row in _rows(params, "classes"))
+    settings["quotas"] = {
         row["name"]: float(_number(row.get("quotaRps") or 0, f"{place}.quotaRps"))
         for place, row in _rows(params, "parties")
     }
     zones = params.get("failureDomains") or ()
     if not isinstance(zones, (list, tuple)):
         raise _wrong("failureDomains", zones, "a list of zones")
-    known["zones"] = tuple(zones)
-    known["must_ask"] = _one_of(
+    settings["zones"] = tuple(zones)
+    settings["must_ask"] = _one_of(
         params.get("registryMode") or "pushed", {"pushed": False, "on_request": True}, "registryMode"
     )
     report = _object(params.get("report"), "report")
-    known["load_reports"] = REPORTS.get(report.get("how", "off"), "none")
-    known["value_by_work"] = params.get("worthBy") == "work"
-    return known
+    settings["load_reports"] = REPORTS.get(report.get("how", "off"), "none")
+    settings["value_by_work"] = params.get("worthBy") == "work"
+    return settings
--- a/cartweir/hosting/pools.py
+++ b/cartweir/hosting/pools.py
@@ -30,16 +30,16 @@
 
     def listed(self, changed: list[Appliance]) -> None:
         """Those that are gone lose their connections once they carry nothing, and their address."""
-        standing = {appliance.ident for appliance in changed if appliance.state != GONE}
+        standing = {appliance.id for appliance in changed if appliance.state != GONE}
         for appliance in changed:
             if appliance.state == GONE:
                 if (pool := self.pools.pop(appliance, None)) is not None:
                     pool.retire()
-                if appliance.ident not in standing:
-                    self.addresses.pop(appliance.ident, None)
+                if appliance.id not in standing:
+                    self.addresses.pop(appliance.id, None)
 
     def pool(self, appliance: Appliance) -> P:
-        pool, address = self.pools.get(appliance), self.addresses.get(appliance.ident, "")
+        pool, address = self.pools.get(appliance), self.addresses.get(appliance.id, "")
         if pool is None or pool.address != address:
             if pool is not None:
                 pool.retire()
--- a/cartweir/hosting/roster.py
+++ b/cartweir/hosting/roster.py
@@ -16,7 +16,7 @@
 class Row:
     """One entry of news; None: the news does not say."""
 
-    ident: str
+    id: str
     build: int | None = 0
     run: Hashable = 0  # tells the starts of a process apart; 0: not told
     started: int | None = 0  # by the host's clock; 0: long ago
@@ -41,16 +41,16 @@
         changed: list[Appliance] = []
         named = set()
         for row in rows:
-            ident = row.ident
-            named.add(ident)
-            old = self.appliances.get(ident)
+            appliance_id = row.id
+            named.add(appliance_id)
+            old = self.appliances.get(appliance_id)
             build = row.build if row.build is not None else old.build if old is not None else 0
-            if old is None or old.build != build or (row.run and self._runs.get(ident) != row.run):
+            if old is None or old.build != build or (row.run and self._runs.get(appliance_id) != row.run):
                 if old is not None and old.state != GONE:
                     old.state = GONE
                     changed.append(old)
-                old = self.appliances[ident] = Appliance(ident, build, started=row.started or 0)
-                self._runs[ident] = row.run
+                old = self.appliances[appliance_id] = Appliance(appliance_id, build, started=row.started or 0)
+                self._runs[appliance_id] = row.run
             if row.zone is not None:
                 old.zone = row.zone
             if row.cell is not None:
@@ -62,8 +62,8 @@
             old.state = row.state
             changed.append(old)
         if whole:
-            for ident, appliance in self.appliances.items():
-                if ident not in named and appliance.state != GONE:
+            for appliance_id, appliance in self.appliances.items():
+                if appliance_id not in named and appliance.state != GONE:
                     appliance.state = GONE
                     changed.append(appliance)
         self._forget(changed, named)
@@ -72,12 +72,12 @@
     def _forget(self, changed: list[Appliance], named: set[str]) -> None:
         """Guards against idents that are always new: those that went first are forgotten, once there are too many."""
         for appliance in changed:
-            if self.appliances[appliance.ident] is appliance:
-                self._gone.pop(appliance.ident, None)
+            if self.appliances[appliance.id] is appliance:
+                self._gone.pop(appliance.id, None)
                 if appliance.state == GONE:
-                    self._gone[appliance.ident] = None
+                    self._gone[appliance.id] = None
         many = 2 * len(self._gone) - len(self.appliances) - SPARE_GONE
         if many <= 0:
             return
-        for ident in [ident for ident in self._gone if ident not in named][:many]:
-            del self._gone[ident], self.appliances[ident], self._runs[ident]
+        for appliance_id in [appliance_id for appliance_id in self._gone if appliance_id not in named][:many]:
+            del self._gone[appliance_id], self.appliances[appliance_id], self._runs[appliance_id]
--- a/cartweir/hosting/seat.py
+++ b/cartweir/hosting/seat.py
@@ -57,9 +57,9 @@
         try:
             return method(self, *arguments, **more)
         except Exception:
-            for inv in [inv for inv in self.calls if self.engine.broken(inv)]:
-                inv.concluded = True
-                self.terminate(inv)
+            for invocation in [invocation for invocation in self.calls if self.engine.is_broken(invocation)]:
+                invocation.concluded = True
+                self.terminate(invocation)
             raise
 
     return entered
@@ -68,11 +68,11 @@
 class Seat:
     """One instance. known: the plain map of settings, with its operations."""
 
-    def __init__(self, world: World, known: Mapping[str, Any], seed: int) -> None:
+    def __init__(self, world: World, settings: Mapping[str, Any], seed: int) -> None:
         self.world = world
-        self.known = known
+        self.settings = settings
         self.operations: dict[str, Operation] = {
-            operation.name: operation for operation in known["operations"]
+            operation.name: operation for operation in settings["operations"]
         }
         self.roster = Roster()
         self.calls: dict[Invocation, Call] = {}  # invocations that are owed an answer
@@ -80,27 +80,27 @@
         self.lag = 0  # by how long what is told now was held up before it came here
         self._count = 0
         self._word: tuple | None = None  # of the newest build, as last noted
-        self.engine = Engine(world.now(), seed, known, self)
+        self.engine = Engine(world.now(), seed, settings, self)
 
     # ---- out: the Door ----
     def dispatch(self, dispatch: Dispatch) -> None:
-        inv = dispatch.invocation
-        call = self.calls.get(inv)
+        invocation = dispatch.invocation
+        call = self.calls.get(invocation)
         if (
             call is None
-            or inv.streaming
-            or self.engine.now >= inv.expires
-            or (dispatch.number >= self.known["dispatch_limit"])
+            or invocation.streaming
+            or self.engine.now >= invocation.deadline
+            or (dispatch.number >= self.settings["dispatch_limit"])
             or dispatch.appliance.state == ours.GONE
         ):
-            self.world.soon(lambda: self.ended(dispatch, ours.MOOT))
+            self.world.soon(lambda: self.ended(dispatch, ours.OBSOLETE))
             return
         self.attempts[dispatch] = self.world.start(dispatch, call)
         self.world.note(
             "dispatch",
-            invocation=inv.ident,
+            invocation=invocation.id,
             dispatch=dispatch.number,
-            appliance=dispatch.appliance.ident,
+            appliance=dispatch.appliance.id,
             build=dispatch.appliance.build,
         )
 
@@ -108,27 +108,27 @@
         attempt = self.attempts.get(dispatch)
         if attempt is not None:
             # given up at the very moment at which its own time is up: the alarm was only the first to tell
-            late = self.engine.now >= dispatch.sent + dispatch.patience > dispatch.sent
+            late = self.engine.now >= dispatch.sent + dispatch.timeout > dispatch.sent
             attempt.abandon(late)
             self.world.soon(lambda: self.ended(dispatch, ours.TIMEOUT if late else ours.CANCELLED))
 
-    def throttle(self, inv: Invocation, retry_after: int) -> None:
-        self._answer(inv, "throttled", lambda call: call.throttle(retry_after))
+    def throttle(self, invocation: Invocation, retry_after: int) -> None:
+        self._answer(invocation, "throttled", lambda call: call.throttle(retry_after))
 
-    def terminate(self, inv: Invocation) -> None:
-        self._answer(inv, "terminated", lambda call: call.terminate())
+    def terminate(self, invocation: Invocation) -> None:
+        self._answer(invocation, "terminated", lambda call: call.terminate())
 
-    def _answer(self, inv: Invocation, how: str, give: Callable[[Call], None]) -> None:
-        call = self.calls.pop(inv, None)
+    def _answer(self, invocation: Invocation, how: str, give: Callable[[Call], None]) -> None:
+        call = self.calls.pop(invocation, None)
         if call is not None:
             give(call)
             self.world.note(
                 "answer",
-                invocation=inv.ident,
-                operation=inv.operation.name,
+                invocation=invocation.id,
+                operation=invocation.operation.name,
                 how=how,
-                dispatches=len(inv.dispatches),
-                took=self.engine.now - inv.taken,
+                dispatches=len(invocation.dispatches),
+                took=self.engine.now - invocation.arrived_at,
             )
 
     def set_timer(self, due: int) -> None:
@@ -155,26 +155,26 @@
     # ---- a life before this one ----
     def binds(self, appliance: Appliance) -> bool:
         """Whether a dispatch to it may bind its key."""
-        return self.known["one_way"] and self.engine.agent.binds(appliance)
+        return self.settings["one_way"] and self.engine.agent.binds_key(appliance)
 
     def recall(self, recalled: Any) -> None:
         """bound, forgot and spent, as fleet/key_journal.py has them."""
-        self.engine.agent.recall(recalled.bound, bool(recalled.forgot), recalled.spent)
+        self.engine.agent.restore(recalled.bound, bool(recalled.forgot), recalled.spent)
 
     # ---- in ----
     def enter(self) -> None:
         """The present moment; what is overdue comes before any news."""
         now = max(self.world.now(), self.engine.now)
-        self.engine.enter(now)
-        self.engine.overdue()
+        self.engine.advance_to(now)
+        self.engine.run_overdue_timers()
         if self.lag > self.engine.lag:
             self.engine.lag = self.lag
 
     @answering
     def alarm(self) -> None:
-        self.engine.enter(max(self.world.now(), self.engine.now))
-        self.engine.alarm()
-        self.engine.settle()
+        self.engine.advance_to(max(self.world.now(), self.engine.now))
+        self.engine.run_timers()
+        self.engine.resume_woken()
 
     @answering
     def take(
@@ -183,46 +183,46 @@
         operation: Operation,
         arrived: int,
         limit: int,
-        ident: int | None = None,
+        invocation_id: int | None = None,
         **facts: Any,
     ) -> Invocation:
         """A whole call has come in; limit: how long after `arrived` its client waits; ident: where it has one."""
         self.enter()
         self._count += 1
-        inv = Invocation(
-            self._count if ident is None else ident,
+        invocation = Invocation(
+            self._count if invocation_id is None else invocation_id,
             operation,
             min(arrived, self.engine.now),
             arrived + min(limit, operation.time_limit),
             **facts,
         )
-        self.calls[inv] = call
-        self.engine.take(inv)
-        self.engine.settle()
-        return inv
+        self.calls[invocation] = call
+        self.engine.accept(invocation)
+        self.engine.resume_woken()
+        return invocation
 
     @answering
-    def left(self, inv: Invocation) -> None:
+    def left(self, invocation: Invocation) -> None:
         """The client has gone; nothing is owed."""
-        if self.calls.pop(inv, None) is not None:
+        if self.calls.pop(invocation, None) is not None:
             self.enter()
-            self.world.note("left", invocation=inv.ident)
-            self.engine.expired(inv)
-            self.engine.settle()
+            self.world.note("left", invocation=invocation.id)
+            self.engine.client_left(invocation)
+            self.engine.resume_woken()
 
     def leaves(self, dispatch: Dispatch) -> bool:
         """A dispatch has its connection at last; False: it must not go out any more."""
-        if dispatch.ended is not None or dispatch.invocation not in self.calls:
+        if dispatch.result is not None or dispatch.invocation not in self.calls:
             return False
         self.enter()
-        return self.engine.leaves(dispatch)
+        return self.engine.may_send(dispatch)
 
     def begun(self, dispatch: Dispatch) -> bool:
         """The dispatch's answer starts to be passed on; False: another one has been before it."""
-        inv = dispatch.invocation
-        if inv not in self.calls or inv.streaming:
+        invocation = dispatch.invocation
+        if invocation not in self.calls or invocation.streaming:
             return False
-        inv.streaming = True
+        invocation.streaming = True
         return True
 
     @answering
@@ -235,76 +235,76 @@
         passed: bool = False,
     ) -> None:
         """A dispatch has ended. answer: what succeeded, to be passed on; passed: it was already being."""
-        if dispatch.ended is not None:
+        if dispatch.result is not None:
             return
         self.attempts.pop(dispatch, None)
         self.enter()
-        inv = dispatch.invocation
+        invocation = dispatch.invocation
         if how == ours.SUCCEEDED and (answer is not None or passed):
-            self._answer(inv, "succeeded", lambda call: call.succeed(*(answer or ((), [], ()))))
+            self._answer(invocation, "succeeded", lambda call: call.succeed(*(answer or ((), [], ()))))
         elif passed:
-            self._answer(inv, "terminated", lambda call: call.terminate())
-        self.engine.outcome(
-            Outcome(dispatch, how, self.engine.now - dispatch.sent, inv not in self.calls, load)
+            self._answer(invocation, "terminated", lambda call: call.terminate())
+        self.engine.dispatch_ended(
+            Outcome(dispatch, how, self.engine.now - dispatch.sent, invocation not in self.calls, load)
         )
-        self.engine.settle()
-        if inv.steps is None and all(d.ended is not None for d in inv.dispatches):
-            inv.dispatches = []  # each knows its invocation: no cycle is left to the collector
+        self.engine.resume_woken()
+        if invocation.generator is None and all(d.result is not None for d in invocation.dispatches):
+            invocation.dispatches = []  # each knows its invocation: no cycle is left to the collector
 
     @answering
     def probed(
         self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
     ) -> None:
         self.enter()
-        self.engine.probed(appliance, answered, took, load)
-        self.engine.settle()
+        self.engine.probe_ended(appliance, answered, took, load)
+        self.engine.resume_woken()
 
     @answering
     def listed(self, how: str, rows: Iterable[Row] = (), waited: int | None = 0) -> list[Appliance]:
         """how: one of interface.py's; waited: without an answer, how long one was waited for; None if not known."""
         self.enter()
-        told = how in (ours.CHANGES, ours.WHOLE, ours.CACHED)
-        changed = self.roster.apply(how != ours.CHANGES, rows) if told else []
+        told = how in (ours.DELTA, ours.SNAPSHOT, ours.CACHED)
+        changed = self.roster.apply(how != ours.DELTA, rows) if told else []
         self.engine.agent.on_list(how, changed, waited)
-        self.engine.settle()
+        self.engine.resume_woken()
         return changed
 
     @answering
     def staged(self, stage: Stage) -> None:
-        if stage.answer in (None, "ok") and self._word != (stage.word, stage.cap):
-            self._word = (stage.word, stage.cap)
+        if stage.vote_answer in (None, "ok") and self._word != (stage.identity, stage.cap):
+            self._word = (stage.identity, stage.cap)
             self.world.note("stage", build=stage.build, stage=stage.number, phase=stage.phase, cap=stage.cap)
         self.enter()
         self.engine.agent.on_stage(stage)
-        self.engine.settle()
+        self.engine.resume_woken()
 
     @answering
     def tallied(self, tally: Tally) -> None:
         self.enter()
         self.engine.agent.on_tally(tally)
-        self.engine.settle()
+        self.engine.resume_woken()
 
     @answering
     def flagged(self, operation: str, appliance: str, age: int) -> None:
         self.enter()
         if operation in self.operations and appliance in self.roster.appliances:
             self.engine.agent.on_flag(self.operations[operation], self.roster.appliances[appliance], age)
-        self.engine.settle()
+        self.engine.resume_woken()
 
     @answering
     def told(self, sender: int, figures: list[int]) -> None:
         self.enter()
         self.engine.agent.on_message(sender, figures)
-        self.engine.settle()
+        self.engine.resume_woken()
 
     def give_up_all(self) -> None:
         """The process ends now: what is owed is answered as the decisions say."""
         self.enter()
-        for inv in list(self.calls):
-            match self.engine.agent.give_up(inv):
+        for invocation in list(self.calls):
+            match self.engine.agent.give_up(invocation):
                 case Throttle(retry_after):
-                    self.throttle(inv, retry_after)
+                    self.throttle(invocation, retry_after)
                 case _:
-                    self.terminate(inv)
-            self.engine.expired(inv)
-        self.engine.settle()
+                    self.terminate(invocation)
+            self.engine.client_left(invocation)
+        self.engine.resume_woken()
--- a/cartweir/interface.py
+++ b/cartweir/interface.py
@@ -15,12 +15,12 @@
 NO_VOTE, ON, HOLD, BACK = "none", "on", "hold", "back"
 # How a dispatch ended. The last three prove that it never ran.
 SUCCEEDED, ERROR, TIMEOUT, RESET, CANCELLED = "succeeded", "error", "timeout", "reset", "cancelled"
-FULL, UNCONNECTED, MOOT = "full", "unconnected", "moot"
-NEVER_RAN = frozenset((FULL, UNCONNECTED, MOOT))
+FULL, UNCONNECTED, OBSOLETE = "full", "unconnected", "moot"
+NEVER_RAN = frozenset((FULL, UNCONNECTED, OBSOLETE))
 # What became of the list of appliances: changed entries or all of them; the one kept from an earlier process; nothing has
 # changed up to now; a call failed, nobody knows why; discovery is away; it gave no usable answer, and may be there.
-CHANGES, WHOLE, CACHED, CURRENT = "changes", "whole", "cached", "current"
-FAILED, AWAY, UNANSWERED = "failed", "away", "unanswered"
+DELTA, SNAPSHOT, CACHED, UNCHANGED = "changes", "whole", "cached", "current"
+FAILED, UNREACHABLE, UNANSWERED = "failed", "away", "unanswered"
 
 
 # ---- what comes in ------------------------------------------------------------------------------
@@ -35,14 +35,14 @@
     billed_value: float = 1.0
     late_value: float = 0.0
     stream: bool = False
-    learned: Any = None  # the decisions' own notes
+    decision_state: Any = None  # the decisions' own notes
 
 
 @dataclass(eq=False, slots=True)
 class Appliance:
     """One process of one machine; a restart or another build makes a new object."""
 
-    ident: str
+    id: str
     build: int = 0
     zone: str = ""
     cell: int = 0
@@ -50,15 +50,15 @@
     weight: float = 1.0
     started: int = 0  # 0: long ago
     state: str = READY
-    learned: Any = None
+    decision_state: Any = None
 
 
 @dataclass(eq=False, slots=True)
 class Invocation:
-    ident: int
+    id: int
     operation: Operation
-    taken: int
-    expires: int  # the client waits no longer than this
+    arrived_at: int
+    deadline: int  # the client waits no longer than this
     customer: str = ""
     key: str | None = None
     hint: int = 0  # rough work in microseconds; 0: not told
@@ -67,9 +67,9 @@
     dispatches: list[Dispatch] = field(default_factory=list)
     concluded: bool = False
     streaming: bool = False
-    learned: Any = None
-    steps: Generator | None = None  # the host's: the running generator and the turn it waits in
-    turn: int = 0
+    decision_state: Any = None
+    generator: Generator | None = None  # the host's: the running generator and the turn it waits in
+    wait_id: int = 0
 
 
 @dataclass(eq=False, slots=True)
@@ -77,20 +77,20 @@
     """Yield: send the invocation to an appliance; resumed with an Outcome, or None once `until` has come."""
 
     appliance: Appliance
-    patience: int = 0  # give the dispatch up after so long; 0: as long as the client waits
+    timeout: int = 0  # give the dispatch up after so long; 0: as long as the client waits
     until: int | None = None
     invocation: Invocation | None = None
     number: int = 0
     sent: int = 0
-    ended: str | None = None
-    learned: Any = None
+    result: str | None = None
+    decision_state: Any = None
 
 
 @dataclass(eq=False, slots=True)
 class Outcome:
     dispatch: Dispatch
-    how: str
-    took: int
+    result: str
+    duration: int
     complete: bool  # nothing more is owed for the invocation
     load: Mapping[str, float] | None = None
 
@@ -104,10 +104,10 @@
     phase: str
     cap: float
     age: int
-    answer: str | None = None  # to a vote: ok, moot, full, error, timeout; None: unasked
+    vote_answer: str | None = None  # to a vote: ok, moot, full, error, timeout; None: unasked
 
     @property
-    def word(self) -> tuple[int, int, str]:
+    def identity(self) -> tuple[int, int, str]:
         """What a change of makes this another stage."""
         return self.build, self.number, self.phase
 
@@ -157,8 +157,8 @@
     """Final answer: no promise on the effect."""
 
 
-Wish = Dispatch | Wait | Probe | Cancel | Throttle | Terminate
-Steps = Generator[Wish, Outcome | None, None]
+Action = Dispatch | Wait | Probe | Cancel | Throttle | Terminate
+ActionGenerator = Generator[Action, Outcome | None, None]
 
 
 class Host(Protocol):
@@ -167,8 +167,8 @@
     now: int
     lag: int  # by how long the earliest timer was overdue: 0 but after a stall
 
-    def at(self, due: int, do: Callable[[], None]) -> None: ...
-    def wake(self, inv: Invocation) -> None: ...
+    def call_at(self, due: int, do: Callable[[], None]) -> None: ...
+    def wake(self, invocation: Invocation) -> None: ...
     def log(self, text: str) -> None: ...
     def vote(self, build: int, stage: int, verdict: str) -> None: ...
     def subscribe(self) -> None: ...
--- a/cartweir/node/config.py
+++ b/cartweir/node/config.py
@@ -29,7 +29,7 @@
     desk: str
     stage: Mapping[str, Any]  # the newest build's state, in the desk's form; empty: none is known
     listed: Mapping[str, Any]  # the list of appliances as last held, in discovery's form
-    known: dict[str, Any]  # the settings by our names
+    decision_settings: dict[str, Any]  # the settings by our names
 
 
 def read(environment: Mapping[str, str] = os.environ) -> Config:
@@ -98,19 +98,19 @@
     seed = _of(told, "seed", str, "a hexadecimal number")
     settings = _of(told, "settings", dict, "the object of settings")
     try:
-        known = known_from(settings)
+        decision_settings = known_from(settings)
     except SettingError as error:
         raise ConfigError(f"settings.{error}") from None
-    if not known["operations"]:
+    if not decision_settings["operations"]:
         raise ConfigError("settings.classes is empty; one operation at least is due")
-    for operation in known["operations"]:
+    for operation in decision_settings["operations"]:
         if not operation.time_limit:
             raise ConfigError(
                 f"settings.classes: {operation.name!r} has no hardLimit; a time in milliseconds is due"
             )
-    if len(known["caps"]) != len(known["shares"]):
+    if len(decision_settings["caps"]) != len(decision_settings["shares"]):
         raise ConfigError(
-            f"settings.familyInfo: {len(known['caps'])} mostShares and {len(known['shares'])} steps; "
+            f"settings.familyInfo: {len(decision_settings['caps'])} mostShares and {len(decision_settings['shares'])} steps; "
             "one of each for a stage is due"
         )
     listed = _of(told, "known", dict, "a list in discovery's form", {})
@@ -128,7 +128,7 @@
             _address(desk, "address"),
             _of(desk, "news", dict, "the state of the newest build", {}),
             listed,
-            known,
+            decision_settings,
         )
     except ValueError:
         raise ConfigError(f"seed: {seed[:60]!r}; a hexadecimal number is due") from None
--- a/cartweir/node/daemon.py
+++ b/cartweir/node/daemon.py
@@ -43,31 +43,31 @@
         self.config, self.reread = config, reread
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(HEARTBEAT, turns_of(self.loop))
-        known = config.known
+        settings = config.decision_settings
         room = max(16, config.sockets - RESERVE)
-        idle = known["idle_time"]
+        idle = settings["idle_time"]
         self.links = Links(
-            Reach(known["connect_timeout"], PROBE_TIMEOUT, idle * 6 // 10, room // 2),
+            Reach(settings["connect_timeout"], PROBE_TIMEOUT, idle * 6 // 10, room // 2),
             self.clock.now,
             self.note,
         )
         self.alarms = Alarms(IOLoop.current(), self.clock.now, lambda: self.seat.alarm())
         self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
         self.discovery: Discovery | None = None
-        self.seat = self.links.seat = Seat(self, known, config.seed)
+        self.seat = self.links.seat = Seat(self, settings, config.seed)
         # where lists are pushed nobody asks for the watch; it is opened anew here, however long discovery is away
-        waits = None if known["must_ask"] else Waits(*RECONNECT, random.Random(config.seed + 2))
+        waits = None if settings["must_ask"] else Waits(*RECONNECT, random.Random(config.seed + 2))
         self.discovery = Discovery(self.seat, self.links, config.discovery, self.clock.now, self.note, waits)
         self.desk = Desk(
             self.seat,
             config.desk,
-            known["vote_timeout"],
+            settings["vote_timeout"],
             Waits(*RECONNECT, random.Random(config.seed + 1)),
             self.note,
         )
         self.peers = (
             Peers(self.seat, config.peer_listen, config.peers, config.peers_all, self.note)
-            if (known["may_message"] and config.peer_listen)
+            if (settings["may_message"] and config.peer_listen)
             else None
         )
         self.front = Front(self.seat, self.clock, room // 2, self.note, self._ready)
@@ -121,7 +121,7 @@
         self.discovery.start(self.config.listed)
         for say in self._to_say:
             say()
-        if not self.seat.known["must_ask"]:
+        if not self.seat.settings["must_ask"]:
             self.discovery.subscribe()
         self.desk.start(self.config.stage)
         address = self.front.listen(self.config.listen)
@@ -129,8 +129,8 @@
         self.note(
             "started",
             listen=address,
-            me=self.seat.known["me"],
-            agents=self.seat.known["agents"],
+            me=self.seat.settings["me"],
+            agents=self.seat.settings["agents"],
             appliances=len(self.seat.roster.appliances),
         )
         return address
--- a/cartweir/node/desk.py
+++ b/cartweir/node/desk.py
@@ -52,7 +52,7 @@
             waits,
             note,
         )
-        self.stages = min(len(seat.known["caps"]), len(seat.known["shares"]))
+        self.stages = min(len(seat.settings["caps"]), len(seat.settings["shares"]))
         self._listener: asyncio.Task | None = None
         self._lost, self._calls = False, 0
 
--- a/cartweir/node/discovery.py
+++ b/cartweir/node/discovery.py
@@ -154,7 +154,7 @@
                 if call.reader.answer is not None:
                     raise CallFailed("the watch was ended")
                 if call.watching and call.objects.between_objects and self._watch is me:
-                    self.seat.listed(ours.CURRENT)
+                    self.seat.listed(ours.UNCHANGED)
         except (CallFailed, Malformed, OSError, ValueError, RecursionError, StreamClosedError) as error:
             failure = error
         except Exception as error:  # a fault of ours: told, and the watch is opened anew
@@ -216,7 +216,7 @@
         waited = self.now() - current_at
         if isinstance(failure, Unreachable):
             self.synchronized = True
-            self.seat.listed(ours.AWAY, waited=waited)
+            self.seat.listed(ours.UNREACHABLE, waited=waited)
         else:
             self.seat.listed(ours.UNANSWERED, waited=waited)
 
@@ -238,7 +238,7 @@
                 return  # of a call from before what is held now
             self.version = None  # changes of another life of discovery: asked anew, for the whole list
             raise ValueError(f"changes up to {version} where more was told before")
-        self._apply(ours.WHOLE if whole else ours.CHANGES, told["endpoints"])
+        self._apply(ours.SNAPSHOT if whole else ours.DELTA, told["endpoints"])
         self.version, self._told = version, self._told + 1
         self.synchronized = True
         if self.waits is not None:
@@ -254,7 +254,7 @@
             self.note("list_bad", level="warning", entries=len(unread), first=unread[0][:200])
         for row, address in rows:
             if address:
-                self.links.addresses[row.ident] = address
+                self.links.addresses[row.id] = address
         self.links.listed(self.seat.listed(how, [row for row, _ in rows]))
 
 
--- a/cartweir/node/front.py
+++ b/cartweir/node/front.py
@@ -43,12 +43,12 @@
 class Call:
     """One request that is owed an answer."""
 
-    __slots__ = ("client", "ident", "head", "body", "invocation")
+    __slots__ = ("client", "id", "head", "body", "invocation")
 
     def __init__(
-        self, client: Client, ident: bytes, head: list[tuple[bytes, bytes]], request: Request
+        self, client: Client, request_id: bytes, head: list[tuple[bytes, bytes]], request: Request
     ) -> None:
-        self.client, self.ident, self.body = client, ident, request.body
+        self.client, self.id, self.body = client, request_id, request.body
         self.head = (request.method, request.target, head)  # what goes on unchanged
         self.invocation: Invocation | None = None
 
@@ -72,7 +72,7 @@
     def _answer(self, status: int, body: bytes = b"", headers: Any = ()) -> None:
         client, self.client = self.client, None
         if client is not None:
-            client.front.calls.pop(self.ident, None)
+            client.front.calls.pop(self.id, None)
             client.call = None
             client.say(status, body, headers)
 
@@ -138,7 +138,8 @@
                 self.refuse(500, "an error of the agent")
             elif self.call is not None:  # the fault was another's: this one is under way
                 self.call.invocation = next(
-                    (inv for inv, call in self.front.seat.calls.items() if call is self.call), None
+                    (invocation for invocation, call in self.front.seat.calls.items() if call is self.call),
+                    None,
                 )
             raise
 
@@ -181,7 +182,7 @@
         call, self.call = self.call, None
         if call is not None:
             call.client = None
-            self.front.calls.pop(call.ident, None)
+            self.front.calls.pop(call.id, None)
             if call.invocation is not None:
                 self.front.seat.left(call.invocation)
 
@@ -327,8 +328,8 @@
             raise Malformed(405, "not the operation's method")
         if operation.effect == IDEMPOTENT and request.body:
             raise Malformed(400, "a body where none is due")
-        ident, fingerprint = request.header(names.ID), request.header(names.FINGERPRINT)
-        if not _IDENT.fullmatch(ident):
+        request_id, fingerprint = request.header(names.ID), request.header(names.FINGERPRINT)
+        if not _IDENT.fullmatch(request_id):
             raise Malformed(400, "no id")
         if operation.effect == FINGERPRINTED and not _IDENT.fullmatch(fingerprint):
             raise Malformed(400, "no key against repeats")
@@ -337,13 +338,13 @@
             raise Malformed(400, "no time limit, such as 480m")
         if self.draining:  # answered before the end is forced
             limit = max(1, min(limit, self.ends_by - arrived))
-        if ident in self.calls:
+        if request_id in self.calls:
             raise Malformed(409, "a request with this id is open")
         hint, further = request.header(names.HINT), names.further_of(request.header(names.FURTHER))
-        head = [(b"X-Request-ID", ident)]
+        head = [(b"X-Request-ID", request_id)]
         if fingerprint:
             head.append((b"Idempotency-Key", fingerprint))
-        call = client.call = self.calls[ident] = Call(client, ident, head, request)
+        call = client.call = self.calls[request_id] = Call(client, request_id, head, request)
         key = request.header(names.KEY)
         invocation = self.seat.take(
             call,
--- a/cartweir/node/links.py
+++ b/cartweir/node/links.py
@@ -55,9 +55,9 @@
 
     def start(self, dispatch: Dispatch, call: Call) -> Attempt:
         attempt = Attempt(self, dispatch, call)
-        if dispatch.sent - dispatch.invocation.taken > HELD and call.gone():
+        if dispatch.sent - dispatch.invocation.arrived_at > HELD and call.gone():
             self.loop.call_soon(call.leave)  # it was held, and nobody waits for it any more
-            self.loop.call_soon(attempt.unsent, ours.MOOT)
+            self.loop.call_soon(attempt.unsent, ours.OBSOLETE)
         else:
             self.pool(dispatch.appliance).send(attempt)
         return attempt
@@ -177,7 +177,7 @@
             if sent.over:
                 continue
             if not sent.still_goes():
-                sent.unsent(ours.MOOT)
+                sent.unsent(ours.OBSOLETE)
             elif not link.socket.closed and link.socket.quiet():
                 sent.go(link)
                 return
@@ -353,7 +353,7 @@
     def __init__(self, links: Links, dispatch: Dispatch, call: Call) -> None:
         super().__init__(links)
         self.dispatch, self.call = dispatch, call
-        self.patience = dispatch.patience or max(1, dispatch.invocation.expires - self.began)
+        self.patience = dispatch.timeout or max(1, dispatch.invocation.deadline - self.began)
 
     def text(self, left: int) -> bytes:
         method, target, head = self.call.head
--- a/cartweir/node/peers.py
+++ b/cartweir/node/peers.py
@@ -63,7 +63,7 @@
             except OSError:  # nothing more, or the echo of a datagram that nobody took
                 return
             number = self._numbers.get(sender[:2])
-            if number is None or number == self.seat.known["me"]:
+            if number is None or number == self.seat.settings["me"]:
                 continue
             if len(text) > MOST:  # its last figure may be cut
                 self.note("message_too_long", level="warning", sender=number)
--- a/cartweir/state.py
+++ b/cartweir/state.py
@@ -13,7 +13,7 @@
     CANCELLED,
     ERROR,
     FULL,
-    MOOT,
+    OBSOLETE,
     RESET,
     SUCCEEDED,
     TIMEOUT,
@@ -57,7 +57,7 @@
     blocks: int = 0  # closed ones
     counts: list[float] = field(default_factory=lambda: [0, 0])  # of the open one: earlier, trial
     failures: list[float] = field(default_factory=lambda: [0.0, 0.0])
-    kept: tuple[float, float] = (0, 0.0)  # earlier side of the last closed one
+    last_earlier: tuple[float, float] = (0, 0.0)  # earlier side of the last closed one
 
     def __str__(self) -> str:
         sides = " against ".join(f"{self.failures[side]:.0f} of {self.counts[side]:.0f}" for side in (1, 0))
@@ -96,12 +96,12 @@
 class Notes:
     """On one appliance."""
 
-    open: int = 0  # own dispatches out
+    open_dispatches: int = 0  # own dispatches out
     good: float = 0.0  # recent outcomes, halved now and then
     bad: float = 0.0
-    shut_until: int = 0
-    strikes: int = 0
-    silences: int = 0  # silent ends since its last answer
+    closed_until: int = 0
+    closures: int = 0
+    unanswered_count: int = 0  # silent ends since its last answer
     load: float = 0.0  # as reported, with own dispatches since
     load_at: int = 0
     heard: int = 0  # when it last answered
@@ -111,14 +111,14 @@
 
     def note(self, how: str, most: int) -> None:
         """One of our dispatches has ended; at `most` outcomes the counts are halved."""
-        self.open -= 1
+        self.open_dispatches -= 1
         if how in (SUCCEEDED, ERROR, FULL):
-            self.silences = 0
+            self.unanswered_count = 0
         elif how in (TIMEOUT, RESET, UNCONNECTED):
-            self.silences += 1
+            self.unanswered_count += 1
         if how == SUCCEEDED:
-            self.good, self.strikes = self.good + 1, 0
-        elif how not in (CANCELLED, MOOT):
+            self.good, self.closures = self.good + 1, 0
+        elif how not in (CANCELLED, OBSOLETE):
             self.bad += 1
         if self.good + self.bad >= most:
             self.good, self.bad = self.good / 2, self.bad / 2
@@ -132,7 +132,7 @@
     """Of one instance."""
 
     host: Any
-    known: Mapping[str, Any]  # the settings
+    settings: Mapping[str, Any]  # the settings
     chance: Any
     fleet: list[Appliance] = field(default_factory=list)  # ready ones
     trial: list[Appliance] = field(default_factory=list)  # of them: builds on trial
@@ -145,29 +145,29 @@
     stage_since: int = 0
     due: float = 0.0  # machines that the stage is to have
     undecided_since: int = 0  # when evidence was first undecided in this stage
-    vote: tuple | None = None  # build, stage, verdict: standing or about to be cast
-    votes: bool = False  # this instance is one of the voters of the stage
+    current_vote: tuple | None = None  # build, stage, verdict: standing or about to be cast
+    is_voter: bool = False  # this instance is one of the voters of the stage
     may_recast: bool = False
     cast_at: int = 0  # when it was last cast
     subscribed: bool = False
-    misses: int = 0  # calls to discovery without an answer, since its last list
-    asks_at: int = 0  # when discovery is next asked, unless it tells something before
+    failed_calls: int = 0  # calls to discovery without an answer, since its last list
+    next_subscribe_at: int = 0  # when discovery is next asked, unless it tells something before
     bound_keys: dict[str, int] = field(default_factory=dict)  # one-way keys -> newest build that answered
-    forgot: bool = False  # a life before this one may have bound others
+    bound_keys_incomplete: bool = False  # a life before this one may have bound others
     recent: deque[str] = field(default_factory=lambda: deque(maxlen=128))  # one-way keys taken of late
     pace: float = 0.0  # dispatches at cold machines that an invocation earns
     owed: float = 0.0  # dispatches that the trial's part comes to, less those it got
     keys_out: dict[tuple, list[int]] = field(default_factory=dict)  # key, build -> when what is out was sent
     held: list[Invocation] = field(default_factory=list)
-    open: int = 0  # own dispatches out
-    limit: float = 0.0  # and their bound
+    open_dispatches: int = 0  # own dispatches out
+    concurrency_limit: float = 0.0  # and their bound
     crawling: bool = False  # the latest answer was slow
-    spare_retries: float = 0.0
+    retry_budget: float = 0.0
     links: dict[str, float] = field(default_factory=dict)  # zone -> share that got no connection of late
     strain: float = 0.0  # share of late answers in the own zone of late
     probes_answered: float = 1.0  # share of the latest
-    probes_tell: bool = True  # of a load
-    credit: float = 0.0  # dispatches earned at cold machines
+    probes_report_load: bool = True  # of a load
+    cold_credit: float = 0.0  # dispatches earned at cold machines
     asked: float = 0.0  # invocations taken, and succeeded; halved now and then
     answered: float = 0.0
     relay: Ledger = field(default_factory=Ledger)  # counts of others to be told
--- a/cartweir/wire/session.py
+++ b/cartweir/wire/session.py
@@ -69,7 +69,7 @@
 
     __slots__ = (
         "session",
-        "ident",
+        "id",
         "listener",
         "_queue",
         "queued",
@@ -82,8 +82,8 @@
         "gone",
     )
 
-    def __init__(self, session: Session, ident: int, listener: Listener | None) -> None:
-        self.session, self.ident, self.listener = session, ident, listener
+    def __init__(self, session: Session, stream_id: int, listener: Listener | None) -> None:
+        self.session, self.id, self.listener = session, stream_id, listener
         self._queue: deque[memoryview] = deque()
         self.queued = 0  # bytes that wait for the windows
         self._tail: Headers | None = None  # trailers that follow them
@@ -206,13 +206,13 @@
         if not self.room:
             raise RuntimeError("no room for a stream")
         try:
-            ident = self._h2.get_next_available_stream_id()
+            stream_id = self._h2.get_next_available_stream_id()
         except exceptions.NoAvailableStreamIDError:
             self.closing = True
             raise RuntimeError("stream ids of the connection are used up") from None
-        stream = Stream(self, ident, listener)
-        self.streams[ident] = stream
-        self._h2.send_headers(ident, headers, end_stream=end)
+        stream = Stream(self, stream_id, listener)
+        self.streams[stream_id] = stream
+        self._h2.send_headers(stream_id, headers, end_stream=end)
         stream.said_all = stream._ending = end
         self.wake()
         return stream
@@ -274,7 +274,7 @@
     # ---- sending ----
     def _send_headers(self, stream: Stream, headers: Headers, end: bool) -> None:
         try:
-            self._h2.send_headers(stream.ident, headers, end_stream=end)
+            self._h2.send_headers(stream.id, headers, end_stream=end)
         except exceptions.StreamClosedError:
             return
         if end:
@@ -283,8 +283,8 @@
         self.wake()
 
     def _ready(self, stream: Stream) -> None:
-        if stream.ident not in self._blocked:
-            self._waiting[stream.ident] = stream
+        if stream.id not in self._blocked:
+            self._waiting[stream.id] = stream
             self.wake()
 
     def _push(self, stream: Stream, room: int) -> int:
@@ -293,10 +293,10 @@
             if stream.queued:
                 return self._push_data(stream, room)
             if stream._tail is not None:
-                self._h2.send_headers(stream.ident, stream._tail, end_stream=True)
+                self._h2.send_headers(stream.id, stream._tail, end_stream=True)
                 self._said_all(stream)
             elif stream._ending:
-                self._h2.send_data(stream.ident, b"", end_stream=True)
+                self._h2.send_data(stream.id, b"", end_stream=True)
                 self._said_all(stream)
         except exceptions.StreamClosedError:
             pass  # the reset that closed it is among the news at hand
@@ -305,16 +305,16 @@
     def _push_data(self, stream: Stream, room: int) -> int:
         piece = stream._queue[0]
         size = min(
-            self._h2.local_flow_control_window(stream.ident),
+            self._h2.local_flow_control_window(stream.id),
             len(piece),
             self._h2.max_outbound_frame_size,
             room,
         )
         if size <= 0:
-            self._blocked[stream.ident] = stream
+            self._blocked[stream.id] = stream
             return 0
         last = size == stream.queued and stream._ending and stream._tail is None
-        self._h2.send_data(stream.ident, piece[:size], end_stream=last)
+        self._h2.send_data(stream.id, piece[:size], end_stream=last)
         stream.queued -= size
         if size == len(piece):
             stream._queue.popleft()
@@ -324,7 +324,7 @@
         if last:
             self._said_all(stream)
         elif stream.queued or stream._ending:
-            self._waiting[stream.ident] = stream
+            self._waiting[stream.id] = stream
         if listener is not None:
             listener.on_sent(stream, size)
         return size
@@ -337,7 +337,7 @@
     def _grant(self, stream: Stream) -> None:
         size, stream._untaken = stream._untaken, 0
         try:
-            self._h2.increment_flow_control_window(size, stream.ident)
+            self._h2.increment_flow_control_window(size, stream.id)
         except (exceptions.StreamClosedError, exceptions.NoSuchStreamError):
             return
         self.wake()
@@ -347,7 +347,7 @@
             self._forget(stream)
             if not self.broken:
                 try:
-                    self._h2.reset_stream(stream.ident, code)
+                    self._h2.reset_stream(stream.id, code)
                 except exceptions.StreamClosedError:
                     return
                 self.wake()
@@ -359,9 +359,9 @@
         stream.gone, stream.listener = True, None
         stream._queue.clear()
         stream.queued = 0
-        self.streams.pop(stream.ident, None)
-        self._waiting.pop(stream.ident, None)
-        self._blocked.pop(stream.ident, None)
+        self.streams.pop(stream.id, None)
+        self._waiting.pop(stream.id, None)
+        self._blocked.pop(stream.id, None)
 
     def _drop(self, stream: Stream, how: str, code: int) -> None:
         if not stream.gone:
@@ -373,7 +373,7 @@
     # ---- h2's events ----
     def _on_request(self, event: events.RequestReceived) -> None:
         stream = Stream(self, event.stream_id, None)
-        self.streams[stream.ident] = stream
+        self.streams[stream.id] = stream
         if self.closing or len(self.streams) > self.limits.streams:
             self._reset(stream, ErrorCodes.REFUSED_STREAM)
             return
@@ -423,7 +423,7 @@
     def _on_goaway(self, event: events.ConnectionTerminated) -> None:
         self.closing, last = True, event.last_stream_id or 0
         if self.client:
-            for stream in [s for s in self.streams.values() if s.ident > last]:
+            for stream in [s for s in self.streams.values() if s.id > last]:
                 self._drop(stream, UNSEEN, int(event.error_code))
         self.owner.on_closing(int(event.error_code))
 
@@ -431,7 +431,7 @@
         if event.stream_id == 0:
             self._unblock()
         elif (stream := self._blocked.pop(event.stream_id, None)) is not None:
-            self._waiting[stream.ident] = stream
+            self._waiting[stream.id] = stream
 
     def _unblock(self) -> None:
         self._waiting.update(self._blocked)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,7 +24,7 @@
 
 MS, S = 1_000, 1_000_000
 TRACES = Path(__file__).parent / "traces"
-KNOWN = dict(
+SETTINGS = dict(
     agents=1,
     me=0,
     zone="a",
@@ -66,7 +66,7 @@
 class Scene:
     """Plays the host's world; being the door too, it writes each action down."""
 
-    def __init__(self, seed: int = 1, **known) -> None:
+    def __init__(self, seed: int = 1, **settings) -> None:
         self.lines: list[str] = []
         self.out: list[Dispatch] = []
         self.draw = Operation("draw", IDEMPOTENT, slo_time=S, time_limit=3 * S)
@@ -74,7 +74,7 @@
         self.issue = Operation("issue", SIDE_EFFECTING, slo_time=S, time_limit=3 * S)
         self.engine = None
         self.engine = Engine(
-            0, seed, {**KNOWN, "operations": (self.draw, self.order, self.issue), **known}, self
+            0, seed, {**SETTINGS, "operations": (self.draw, self.order, self.issue), **settings}, self
         )
         self.agent, self.fleet, self.count = self.engine.agent, {}, 0
 
@@ -86,20 +86,20 @@
     def dispatch(self, dispatch: Dispatch) -> None:
         self.out.append(dispatch)
         if not self.quiet:
-            self.say(f"dispatch {dispatch.invocation.ident} to {dispatch.appliance.ident}")
+            self.say(f"dispatch {dispatch.invocation.id} to {dispatch.appliance.id}")
 
     quiet, silent = False, ()
 
     def cancel(self, dispatch: Dispatch) -> None:
-        self.say(f"cancel {dispatch.invocation.ident} at {dispatch.appliance.ident}")
+        self.say(f"cancel {dispatch.invocation.id} at {dispatch.appliance.id}")
 
-    def throttle(self, inv: Invocation, retry_after: int) -> None:
+    def throttle(self, invocation: Invocation, retry_after: int) -> None:
         if not self.quiet:
-            self.say(f"throttle {inv.ident}, come back after {retry_after // MS} ms")
+            self.say(f"throttle {invocation.id}, come back after {retry_after // MS} ms")
 
-    def terminate(self, inv: Invocation) -> None:
+    def terminate(self, invocation: Invocation) -> None:
         if not self.quiet:
-            self.say(f"terminate {inv.ident}")
+            self.say(f"terminate {invocation.id}")
 
     def set_timer(self, due: int) -> None:
         pass
@@ -117,8 +117,10 @@
         self.say("fetch list")
 
     def probe(self, appliance: Appliance) -> None:
-        answered = appliance.ident not in self.silent
-        self.engine.at(self.engine.now + MS, lambda: self.engine.probed(appliance, answered, MS, None))
+        answered = appliance.id not in self.silent
+        self.engine.call_at(
+            self.engine.now + MS, lambda: self.engine.probe_ended(appliance, answered, MS, None)
+        )
 
     def message(self, to: int | None, figures: list[int]) -> None:
         self.say(f"message {figures}")
@@ -126,11 +128,11 @@
     # ---- the world ----
     def pass_to(self, time: int) -> None:
         while self.engine._timers and self.engine._timers[0][0] <= time:
-            self.engine.enter(max(self.engine.now, self.engine._timers[0][0]))
+            self.engine.advance_to(max(self.engine.now, self.engine._timers[0][0]))
             self.engine._next_alarm = self.engine.now
-            self.engine.alarm()
-            self.engine.settle()
-        self.engine.enter(time)
+            self.engine.run_timers()
+            self.engine.resume_woken()
+        self.engine.advance_to(time)
 
     def list(
         self, *names: str, build: int = 1, started: int = 0, state: str = "ready", zone: str = "a"
@@ -138,29 +140,31 @@
         for name in names:
             self.fleet.setdefault(name, Appliance(name, build, zone, started=started)).state = state
         self.agent.on_list("changes", [self.fleet[name] for name in names])
-        self.engine.settle()
+        self.engine.resume_woken()
 
     def stage(
         self, build: int, number: int, cap: float, phase: str = ON_TRIAL, answer: str | None = None
     ) -> None:
         self.agent.on_stage(Stage(build, number, phase, cap, 0, answer))
-        self.engine.settle()
+        self.engine.resume_woken()
 
     def released(self) -> None:
         self.stage(1, 2, 1.0, RELEASED)
 
     def take(self, operation: Operation, left: int = 3 * S, key: str | None = None) -> Invocation:
         self.count += 1
-        inv = Invocation(self.count, operation, self.engine.now, self.engine.now + left, key=key)
-        self.engine.take(inv)
-        self.engine.settle()
-        return inv
+        invocation = Invocation(self.count, operation, self.engine.now, self.engine.now + left, key=key)
+        self.engine.accept(invocation)
+        self.engine.resume_woken()
+        return invocation
 
     def end(self, dispatch: Dispatch, how: str = SUCCEEDED) -> None:
         self.out.remove(dispatch)
         took = self.engine.now - dispatch.sent
-        self.engine.outcome(Outcome(dispatch, how, took, how == SUCCEEDED or dispatch.invocation.concluded))
-        self.engine.settle()
+        self.engine.dispatch_ended(
+            Outcome(dispatch, how, took, how == SUCCEEDED or dispatch.invocation.concluded)
+        )
+        self.engine.resume_woken()
 
     def traffic(self, until: int, how=lambda dispatch: SUCCEEDED, every: int = 20 * MS) -> None:
         """One invocation after another, each answered after 50 ms; only what is not routine is printed."""
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -60,11 +60,11 @@
         self.number = number
         self.clock = Clock(document.agent.heartbeat)
         self.links = Links(reach_of(document, document.agent.cores), self.clock.now, note)
-        known = {**document.decision_settings(), "operations": operations_of(document)}
+        decision_settings = {**document.decision_settings(), "operations": operations_of(document)}
         self.desk = self.links.seat = Desk(
             number,
             document.agent.cores,
-            known,
+            decision_settings,
             self.clock,
             self.links,
             note,
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -113,11 +113,11 @@
 
 # ---- agents broken on purpose ----
 def never_throttles(daemon):
-    daemon.seat.throttle = lambda inv, retry_after: daemon.seat.calls.pop(inv, None)
+    daemon.seat.throttle = lambda invocation, retry_after: daemon.seat.calls.pop(invocation, None)
 
 
 def repeats_anything(daemon):
-    daemon.seat.engine.agent.may_repeat = lambda inv, appliance: True
+    daemon.seat.engine.agent.may_repeat = lambda invocation, appliance: True
 
 
 def hears_of_no_drain(daemon):
@@ -127,11 +127,11 @@
 
 def loves_the_cold(daemon):
     agent = daemon.seat.engine.agent
-    agent.warm_up = lambda: setattr(agent, "credit", 1e9)
+    agent.warm_up = lambda: setattr(agent, "cold_credit", 1e9)
 
 
 def knows_no_cap(daemon):
-    for exposure in daemon.seat.engine.agent.exposures.values():
+    for exposure in daemon.seat.engine.agent.exposure_budgets.values():
         exposure.room = lambda now, cap: True
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -80,7 +80,7 @@
     daemon.peers.seat = heard
     address = daemon.start_up()
     try:
-        assert len(daemon.seat.roster.appliances) == SERVERS and daemon.seat.known["agents"] == AGENTS
+        assert len(daemon.seat.roster.appliances) == SERVERS and daemon.seat.settings["agents"] == AGENTS
         while daemon.discovery.version != 1:  # the watch has told the same list
             await asyncio.sleep(0.005)
         client = Client(*await asyncio.open_connection(*address.split(":")))
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -486,7 +486,7 @@
 @rigged()
 async def test_hand_over_changes_the_owner_thrice_within_a_stage(rig, owner):
     for agent in rig.agents:
-        agent.votes = False
+        agent.is_voter = False
     assert await rig.offer(2)
     seen, epoch = [owner], (await rig.until(stage_is(2, 0)))["duties"]["release"]["epoch"]
     for _ in range(3):
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -47,7 +47,7 @@
             assert (got.status, got.body, got.ends) == ("0", framed(b"fine"), 1)
         idents = [request["cartweir-dispatch"] for a in it.appliances for request in a.requests]
         assert len(set(idents)) == 2
-        await until(lambda: not any(member.invs for member in it.decider.members.values()))
+        await until(lambda: not any(member.invocations for member in it.decider.members.values()))
         assert all(not part.desk.cases and part.desk.held == 0 for part in it.parts)
 
 
@@ -56,7 +56,7 @@
     go = asyncio.Event()
     async with parts(tmp_path, *[when(go)] * 4, cores=3, wire="") as it:
         client = await it.client(1)
-        it.decider.seat.engine.agent.limit = 200.0
+        it.decider.seat.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for _ in range(60)]
         await until(lambda: sum(len(a.requests) for a in it.appliances) == 60)
         used = {part.number for part in it.parts if any(pool.open for pool in part.links.pools.values())}
@@ -70,7 +70,7 @@
 async def test_parts_together_keep_to_the_connections_of_an_appliance(tmp_path):
     go = asyncio.Event()
     async with parts(tmp_path, when(go), when(go), cores=3, appliances="connections = 1") as it:
-        it.decider.seat.engine.agent.limit = 200.0
+        it.decider.seat.engine.agent.concurrency_limit = 200.0
         calls = [(await it.client(part)).call(VIEW) for part in (1, 2, 3) for _ in range(8)]
         await until(lambda: sum(len(a.requests) for a in it.appliances) == 24)
         assert [len(a.peers) for a in it.appliances] == [1, 1]
@@ -120,7 +120,7 @@
         part.hears()
         await finish(call)
         assert call.status == "0" and len(it.appliances[0].requests) == 1
-        sends = it.decider.seat.engine.agent.exposures[it.decider.operations[0]].sends
+        sends = it.decider.seat.engine.agent.exposure_budgets[it.decider.operations[0]].sends
         (first, _), (second, _) = it.book.exposures()
         assert second > first + 40_000 and [send[0] for send in sends] == [second]
 
@@ -132,7 +132,9 @@
         part.deaf()
         calls = [client.call(VIEW) for _ in range(2)]
         member = it.decider.members[1]
-        await until(lambda: sum(len(inv.dispatches) for inv in member.invs.values()) == 2)
+        await until(
+            lambda: sum(len(invocation.dispatches) for invocation in member.invocations.values()) == 2
+        )
         for appliance in it.appliances:
             it.set(appliance, pb.DRAINING)
         await until(lambda: not it.decider.seat.engine.agent.fleet)
@@ -175,12 +177,12 @@
         while len(it.appliances[2].requests) < 3:
             await finish(client.call(VIEW))
         await asyncio.sleep(0.12)  # a beat later it is written down
-        worst = it.decider.seat.engine.agent.jury.worst()
+        worst = it.decider.seat.engine.agent.evidence.strongest()
         before, told = worst.log_ratio(), str(worst)
         assert before > 0.5
         it.decider_ends()
         it.decide()
-        after = it.decider.seat.engine.agent.jury.worst()
+        after = it.decider.seat.engine.agent.evidence.strongest()
         assert (after.log_ratio(), str(after)) == (before, told)
 
 
@@ -188,14 +190,14 @@
 async def test_a_vote_is_not_cast_again_by_whoever_decides_next(tmp_path):
     async with parts(tmp_path, answer, (answer, 2), stage=TRIAL, cores=2) as it:
         agent = it.decider.seat.engine.agent
-        agent.votes = True
+        agent.is_voter = True
         agent.plan("on")
         await until(lambda: it.log.of("vote"))
         await asyncio.sleep(0.1)
         it.decider_ends()
         it.decide()
         agent = it.decider.seat.engine.agent
-        assert agent.votes and agent.vote == (2, 0, "on")
+        assert agent.is_voter and agent.current_vote == (2, 0, "on")
 
 
 # ---- one answer, no effect twice ----
@@ -267,7 +269,7 @@
         it.parts[0].end()
         await asyncio.wait_for(far.reset.wait(), 5)
         await until(lambda: not it.parts[1].desk.lending.carried and 1 not in it.decider.members)
-        assert it.decider.seat.engine.agent.open == 0 and not it.decider.seat.calls
+        assert it.decider.seat.engine.agent.open_dispatches == 0 and not it.decider.seat.calls
 
 
 @sockets
@@ -397,12 +399,12 @@
         while held:  # it is taken, and dispatched
             heard(held.pop(0))
         await until(lambda: any(case.answers for case in desk.cases.values()))
-        ((ident, case),) = desk.cases.items()
+        ((invocation_id, case),) = desk.cases.items()
         assert not call.done.is_set()
         desk.hear(
             [
                 say.DISPATCH,
-                ident,
+                invocation_id,
                 1,
                 desk.marks[desk.roster.appliances[old.name]],
                 500_000,
@@ -434,10 +436,10 @@
         member.pipe._heard = held.append
         go.set()
         await until(lambda: any(case.answers for case in desk.cases.values()))
-        (inv,) = member.invs.values()
-        it.decider.seat.throttle(inv, 0)
-        it.decider.seat.cancel(inv.dispatches[0])
-        await until(lambda: inv.dispatches[0].ended if inv.dispatches else True)
+        (invocation,) = member.invocations.values()
+        it.decider.seat.throttle(invocation, 0)
+        it.decider.seat.cancel(invocation.dispatches[0])
+        await until(lambda: invocation.dispatches[0].result if invocation.dispatches else True)
         await until(lambda: any(message[0] == say.ENDED for message in held))
         member.pipe._heard = heard
         while held:
@@ -462,13 +464,13 @@
         it.registry._started[cold.name] = 1
         await it.knows(lambda desk: len(desk.appliances) == 3)
         for part in it.parts:  # it has started just now, and none is cold in these settings but by
-            part.desk.known = {**part.desk.known, "cold_share": 0.3, "warm_time": 60_000_000}
+            part.desk.settings = {**part.desk.settings, "cold_share": 0.3, "warm_time": 60_000_000}
             part.desk.roster.appliances[cold.name].started = part.clock.now()
         it.decider_ends()
         await until(lambda: all(part.desk.silence.alone for part in it.parts))
         clients = [await it.client(1), await it.client(2)]
         for part in it.parts:
-            part.desk.understudy.engine.agent.limit = 200.0
+            part.desk.understudy.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in clients for _ in range(20)]
         await finish(*calls)
         assert {call.status for call in calls} == {"0"}
@@ -490,7 +492,7 @@
         assert call.status == "0" and len(it.appliances[0].requests) == 1
         assert it.log.of("alone")
         it.decider.loop.add_handler(member.pipe._sock, member.pipe._event, 1)
-        await until(lambda: not member.invs and not part.desk.cases)
+        await until(lambda: not member.invocations and not part.desk.cases)
         await asyncio.sleep(0.05)
         assert len(it.appliances[0].requests) == 1 and call.ends == 1
 
@@ -519,7 +521,7 @@
         still.deaf()
         still.desk.beat = lambda: None
         it.decider.members[3].share.heard -= division.FRESH + 1
-        it.decider.seat.engine.agent.limit = 200.0
+        it.decider.seat.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in others for _ in range(30)]
         await finish(*calls)
         assert {call.status for call in calls} == {"0"}
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -81,7 +81,7 @@
     return settings
 
 
-class Door:
+class RecordingSink:
     """Carries nothing out, and notes what was asked."""
 
     def __init__(self):
@@ -90,20 +90,20 @@
     def dispatch(self, dispatch: Dispatch) -> None:
         self.dispatched.append(dispatch)
 
-    def throttle(self, inv, retry_after):
-        self.answers.append(inv)
+    def throttle(self, invocation, retry_after):
+        self.answers.append(invocation)
 
-    def terminate(self, inv):
-        self.answers.append(inv)
+    def terminate(self, invocation):
+        self.answers.append(invocation)
 
     def __getattr__(self, name):
         return lambda *arguments: None
 
 
-def play(known):
+def play(decision_settings):
     """A little of each event: lists with warm and cold ones, stages with votes, invocations that end in every way."""
-    door = Door()
-    engine = Engine(1_000_000, 7, known, door)
+    sink = RecordingSink()
+    engine = Engine(1_000_000, 7, decision_settings, sink)
     agent, now, taken = engine.agent, 1_000_000, []
     fleet = [
         Appliance(
@@ -112,34 +112,34 @@
         for number in range(6)
     ]
     agent.on_list("whole", fleet)
-    for number in range(len(known["shares"])):
-        agent.on_stage(Stage(2, number, ours.ON_TRIAL, known["caps"][number], 0))
-    ends = (ours.SUCCEEDED, ours.ERROR, ours.RESET, ours.TIMEOUT, ours.FULL, ours.UNCONNECTED, ours.MOOT)
+    for number in range(len(decision_settings["shares"])):
+        agent.on_stage(Stage(2, number, ours.ON_TRIAL, decision_settings["caps"][number], 0))
+    ends = (ours.SUCCEEDED, ours.ERROR, ours.RESET, ours.TIMEOUT, ours.FULL, ours.UNCONNECTED, ours.OBSOLETE)
     for turn in range(60):
         now += 100_000
-        engine.enter(now)
-        engine.alarm()
-        operation = known["operations"][turn % len(known["operations"])]
-        inv = Invocation(
+        engine.advance_to(now)
+        engine.run_timers()
+        operation = decision_settings["operations"][turn % len(decision_settings["operations"])]
+        invocation = Invocation(
             turn, operation, now, now + min(2_000_000, operation.time_limit), "acme", key=f"k{turn % 3}"
         )
-        taken.append(inv)
-        engine.take(inv)
-        for dispatch in [dispatch for dispatch in door.dispatched if dispatch.ended is None]:
+        taken.append(invocation)
+        engine.accept(invocation)
+        for dispatch in [dispatch for dispatch in sink.dispatched if dispatch.result is None]:
             how = ends[(turn + dispatch.number) % len(ends)]
-            if how == ours.SUCCEEDED and dispatch.invocation not in door.answers:
-                door.answers.append(dispatch.invocation)
-            engine.outcome(Outcome(dispatch, how, 50_000, dispatch.invocation in door.answers))
-            engine.settle()
+            if how == ours.SUCCEEDED and dispatch.invocation not in sink.answers:
+                sink.answers.append(dispatch.invocation)
+            engine.dispatch_ended(Outcome(dispatch, how, 50_000, dispatch.invocation in sink.answers))
+            engine.resume_woken()
     for answer in ("ok", "full", "moot", "error", "timeout"):
-        if known["shares"]:
-            agent.on_stage(Stage(2, 0, ours.ON_TRIAL, known["caps"][0], 0, answer))
+        if decision_settings["shares"]:
+            agent.on_stage(Stage(2, 0, ours.ON_TRIAL, decision_settings["caps"][0], 0, answer))
     for _ in range(300):
         now += 50_000
-        engine.enter(now)
-        engine.alarm()
-        engine.settle()
-    return taken, door
+        engine.advance_to(now)
+        engine.run_timers()
+        engine.resume_woken()
+    return taken, sink
 
 
 def whole_config(tmp_path, settings):
@@ -156,22 +156,22 @@
             }
         )
     )
-    return config.read({"EDGE_CONFIG": str(file)}).known
+    return config.read({"EDGE_CONFIG": str(file)}).decision_settings
 
 
 @pytest.mark.parametrize("path", PATHS)
 def test_any_value_of_any_setting_serves_or_is_refused_in_one_clear_line(path, tmp_path):
     for value in VALUES:
         try:
-            known = whole_config(tmp_path, settings_with(path, value))
+            decision_settings = whole_config(tmp_path, settings_with(path, value))
         except config.ConfigError as error:
             assert (
                 "config.json: settings." in str(error) and " due" in str(error) and "\n" not in str(error)
             ), error
             continue
-        taken, door = play(known)
-        for inv in taken:
-            assert door.answers.count(inv) == 1, (path, value, inv)
+        taken, sink = play(decision_settings)
+        for invocation in taken:
+            assert sink.answers.count(invocation) == 1, (path, value, invocation)
 
 
 @pytest.mark.parametrize(
@@ -196,8 +196,10 @@
                         control=control, style=style, per=per, closedStages=1, autoAfter=5000.0, toPause=1
                     )
                     settings["classes"][1]["dedupScope"] = scope
-                    taken, door = play(known_from(settings))
-                    assert sorted(inv.ident for inv in door.answers) == [inv.ident for inv in taken]
+                    taken, sink = play(known_from(settings))
+                    assert sorted(invocation.id for invocation in sink.answers) == [
+                        invocation.id for invocation in taken
+                    ]
 
 
 def test_a_setting_that_can_not_be_read_tells_its_place():
@@ -209,12 +211,12 @@
 def test_an_appliance_that_begins_at_nothing_can_be_weighed_in_the_moment_of_its_start():
     settings = copy.deepcopy(ground.SETTINGS)
     settings["safety"]["coldFrom"] = 0.0
-    door, known = Door(), known_from(settings)
-    engine = Engine(4_000_000, 7, known, door)
+    sink, decision_settings = RecordingSink(), known_from(settings)
+    engine = Engine(4_000_000, 7, decision_settings, sink)
     engine.agent.on_list(
         "whole", [Appliance("s0", 1, started=1_000_000), Appliance("s1", 1, started=4_000_000)]
     )
     engine.agent.on_stage(Stage(1, 2, ours.RELEASED, 1.0, 0))
-    engine.agent.credit = -0.01  # what the invocation earns makes up for it
-    engine.take(Invocation(1, known["operations"][0], 4_000_000, 6_000_000))
-    assert [dispatch.appliance.ident for dispatch in door.dispatched] == ["s0"]
+    engine.agent.cold_credit = -0.01  # what the invocation earns makes up for it
+    engine.accept(Invocation(1, decision_settings["operations"][0], 4_000_000, 6_000_000))
+    assert [dispatch.appliance.id for dispatch in sink.dispatched] == ["s0"]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -11,8 +11,8 @@
 EARLIER, TRIAL = [f"old{n}" for n in range(8)], ["new0", "new1"]
 
 
-def on_trial(**known) -> Scene:
-    scene = Scene(**known)
+def on_trial(**settings) -> Scene:
+    scene = Scene(**settings)
     scene.list(*EARLIER)
     scene.released()
     scene.traffic(2 * S)
@@ -23,9 +23,7 @@
 
 def test_bad_build_is_sent_back():
     scene = on_trial()
-    scene.traffic(
-        8 * S, lambda d: ERROR if d.appliance.build == 2 and d.invocation.ident % 2 else "succeeded"
-    )
+    scene.traffic(8 * S, lambda d: ERROR if d.appliance.build == 2 and d.invocation.id % 2 else "succeeded")
     scene.matches("bad_build")
 
 
@@ -39,9 +37,9 @@
     scene = Scene()
     scene.stage(2, 2, 1.0)
     scene.list(*TRIAL, build=2)
-    scene.traffic(4 * S, lambda d: ERROR if d.invocation.ident % 2 else "succeeded")
+    scene.traffic(4 * S, lambda d: ERROR if d.invocation.id % 2 else "succeeded")
     scene.stage(2, 2, 1.0, GOING_BACK)
-    assert not scene.agent.jury.judges
+    assert not scene.agent.evidence.streams
 
 
 def test_a_released_build_is_judged_by_the_last_earlier_side():
@@ -49,7 +47,7 @@
     scene.traffic(6 * S)
     scene.stage(2, 2, 1.0, "released")
     scene.list(*EARLIER, state=DRAINING)
-    scene.traffic(9 * S, lambda d: ERROR if d.invocation.ident % 2 and not d.number else "succeeded")
+    scene.traffic(9 * S, lambda d: ERROR if d.invocation.id % 2 and not d.number else "succeeded")
     scene.matches("released_bad_build")
 
 
@@ -65,15 +63,15 @@
         scene.pass_to(scene.engine.now + 50 * MS)
         scene.take(scene.issue)
         for dispatch in list(scene.out):
-            scene.end(dispatch, ERROR if errs and dispatch.invocation.ident % 2 else "succeeded")
-    assert len(scene.agent.jury.judges) > 1 and not any(
+            scene.end(dispatch, ERROR if errs and dispatch.invocation.id % 2 else "succeeded")
+    assert len(scene.agent.evidence.streams) > 1 and not any(
         "vote back" in line for line in scene.lines[errs[0] :]
     )
 
 
 def test_failing_machine_is_shut_and_its_build_stays():
     scene = on_trial()
-    scene.traffic(7 * S, lambda d: ERROR if d.appliance.ident == "new0" else "succeeded")
+    scene.traffic(7 * S, lambda d: ERROR if d.appliance.id == "new0" else "succeeded")
     scene.matches("failing_machine")
 
 
@@ -83,7 +81,7 @@
     scene.traffic(9 * S)
     scene.pass_to(14 * S)
     scene.traffic(16 * S)
-    sends = [send[0] for send in scene.agent.exposures[scene.draw].sends]
+    sends = [send[0] for send in scene.agent.exposure_budgets[scene.draw].sends]
     taken = [n * 20 * MS + 14 * S for n in range(1, 101)]
     assert len(sends) > 5
     for first in sends:
@@ -95,7 +93,7 @@
 def test_requests_that_fail_anywhere_are_no_evidence():
     """Guards against extra invocations that err at any machine being taken for a bad build."""
     scene = on_trial()
-    scene.traffic(9 * S, lambda d: ERROR if d.invocation.ident % 3 == 0 else "succeeded")
+    scene.traffic(9 * S, lambda d: ERROR if d.invocation.id % 3 == 0 else "succeeded")
     assert not any("back" in line for line in scene.lines)
 
 
@@ -107,7 +105,7 @@
     scene.list("new0", build=2)
     for _ in range(4):
         scene.take(scene.draw)
-    assert [d.appliance.ident for d in scene.out] == ["new0"]
+    assert [d.appliance.id for d in scene.out] == ["new0"]
     scene.end(scene.out[0])
     scene.stage(2, 0, 0.0, GOING_BACK)
     scene.pass_to(20 * S)
@@ -140,7 +138,7 @@
     scene.list("late0")
     for _ in range(3):
         scene.take(scene.draw, key="k")
-    assert {d.appliance.ident for d in scene.out} == {"new0"}
+    assert {d.appliance.id for d in scene.out} == {"new0"}
 
 
 @pytest.mark.parametrize(
@@ -151,10 +149,10 @@
     scene = Scene(one_way=True, free=2.0)
     scene.list("new0", build=2)
     scene.stage(2, 0, 1.0)
-    inv = scene.take(scene.issue, key="k")
+    invocation = scene.take(scene.issue, key="k")
     scene.pass_to(50 * MS)
     scene.end(scene.out[0], how)
-    scene.engine.expired(inv)
+    scene.engine.client_left(invocation)
     scene.list("old0")
     scene.list("new0", build=2, state=DRAINING)
     scene.out.clear()
@@ -195,7 +193,8 @@
                 at_trial += dispatch.appliance.build == 2
                 scene.end(dispatch)
         throttled += sum(
-            inv.concluded and not any(d.ended == "succeeded" for d in inv.dispatches) for inv in taken[:-10]
+            invocation.concluded and not any(d.result == "succeeded" for d in invocation.dispatches)
+            for invocation in taken[:-10]
         )
         asked += len(taken)
     assert throttled < 0.08 * asked and 0.2 * asked < at_trial < 0.4 * asked
@@ -226,10 +225,10 @@
     scene = Scene(may_duplicate=True)
     scene.list(*EARLIER)
     scene.released()
-    scene.agent.limit = 2.0
+    scene.agent.concurrency_limit = 2.0
     silent, other = scene.take(scene.draw), scene.take(scene.draw)
     scene.pass_to(600 * MS)
-    assert [len(inv.dispatches) for inv in (silent, other)] == [1, 1]
+    assert [len(invocation.dispatches) for invocation in (silent, other)] == [1, 1]
     scene.end(other.dispatches[0])
     scene.pass_to(700 * MS)
     assert len(silent.dispatches) == 2 and silent.dispatches[1].sent <= 700 * MS
@@ -242,7 +241,7 @@
     scene.list("new0", build=2)
     for operation in (scene.order, scene.issue, scene.draw):
         scene.take(operation)
-    assert [d.appliance.ident for d in scene.out] == ["old0", "old0", "new0"]
+    assert [d.appliance.id for d in scene.out] == ["old0", "old0", "new0"]
 
 
 def test_each_effect_after_a_failure():
@@ -286,7 +285,7 @@
     scene.list("a0", state=DRAINING)
     for _ in range(6):
         scene.take(scene.draw)
-    assert {d.appliance.ident for d in scene.out} == {"a1"}
+    assert {d.appliance.id for d in scene.out} == {"a1"}
 
 
 def test_cold_budget():
@@ -298,10 +297,10 @@
     scene.list("cold", started=4 * S)
     scene.list("a0", "a1", "a2", state=DRAINING)
     scene.out.clear()
-    scene.agent.limit = 1000
+    scene.agent.concurrency_limit = 1000
     for _ in range(100):
         scene.take(scene.draw)
-    assert [d.appliance.ident for d in scene.out].count("cold") in range(9, 41)
+    assert [d.appliance.id for d in scene.out].count("cold") in range(9, 41)
 
 
 def test_many_agents_together_leave_a_cold_one_standing():
@@ -314,7 +313,7 @@
         scene.released()
         for _ in range(3):
             scene.take(scene.draw)
-        sent += [d.appliance.ident for d in scene.out]
+        sent += [d.appliance.id for d in scene.out]
     assert len(sent) > 100
     assert 0 < sent.count("cold") < len(sent) / 7
 
@@ -330,7 +329,7 @@
         scene.take(scene.draw)
         scene.pass_to(scene.engine.now + 200 * MS)
         while scene.out:
-            scene.lines.append(scene.out[0].appliance.ident)
+            scene.lines.append(scene.out[0].appliance.id)
             scene.end(scene.out[0])
     assert scene.lines.count("a1") > 15 and not any("shut" in line for line in scene.lines)
 
@@ -385,7 +384,7 @@
     scene = Scene(dispatch_limit=1)
     scene.list("a0", "a1")
     scene.released()
-    scene.traffic(S, lambda dispatch: TIMEOUT if dispatch.appliance.ident == "a0" else "succeeded")
+    scene.traffic(S, lambda dispatch: TIMEOUT if dispatch.appliance.id == "a0" else "succeeded")
     scene.lines = [line for line in scene.lines if "log" in line]
     scene.matches("silent")
 
@@ -427,17 +426,15 @@
     which is no build's fault, at two of them; where several agents must agree."""
     scene = on_trial(shares=(0.1, 0.2, 1.0), back_votes=2, agents=4)
     scene.traffic(8 * S)
-    scene.agent.known["shares"] = (0.1, 0.35, 1.0)
+    scene.agent.settings["shares"] = (0.1, 0.35, 1.0)
     scene.stage(2, 1, 0.6)
     scene.list("new2", build=2, started=8 * S)
-    scene.quiet, scene.agent.limit = True, 100
+    scene.quiet, scene.agent.concurrency_limit = True, 100
     while scene.engine.now < 12 * S:
         scene.pass_to(scene.engine.now + 20 * MS)
         scene.take(scene.draw)
         for dispatch in [
-            d
-            for d in scene.out
-            if d.sent <= scene.engine.now - (400 if d.appliance.ident in slow else 50) * MS
+            d for d in scene.out if d.sent <= scene.engine.now - (400 if d.appliance.id in slow else 50) * MS
         ]:
             scene.end(dispatch)
     assert any("vote back" in line and "40/0.3" in line for line in scene.lines) is told
@@ -446,13 +443,15 @@
 def test_a_report_after_its_block_has_closed():
     """Found by a hunt: no trial answer is in the open block yet."""
     scene = on_trial(flag_share=0.3, back_votes=3, agents=30)
-    scene.agent.jury.share(0, False, 0, 50)
+    scene.agent.evidence.add_pooled(0, False, 0, 50)
     scene.agent.on_flag(scene.draw, scene.fleet["new0"], S)
-    assert scene.agent.jury.worst().margin() < 0
-    scene.agent.jury.share(0, True, 0, 3)
-    assert scene.agent.jury.worst().margin() > 0  # one report in three answers, where several must agree
-    scene.agent.jury.share(0, True, 0, 30)
-    assert scene.agent.jury.worst().margin() < 0
+    assert scene.agent.evidence.strongest().margin() < 0
+    scene.agent.evidence.add_pooled(0, True, 0, 3)
+    assert (
+        scene.agent.evidence.strongest().margin() > 0
+    )  # one report in three answers, where several must agree
+    scene.agent.evidence.add_pooled(0, True, 0, 30)
+    assert scene.agent.evidence.strongest().margin() < 0
 
 
 def test_standing_connections_are_kept_to_where_new_ones_fail():
@@ -462,7 +461,7 @@
     scene.released()
 
     def how(dispatch):
-        sent.append(dispatch.appliance.ident in ("a3", "a7"))
+        sent.append(dispatch.appliance.id in ("a3", "a7"))
         return "succeeded" if sent[-1] else UNCONNECTED
 
     scene.traffic(6 * S, how)
@@ -474,7 +473,7 @@
     scene.list("a0", "a1")
     scene.list("b0", "b1", zone="b")
     scene.released()
-    scene.agent.limit = 100
+    scene.agent.concurrency_limit = 100
     for took in (50 * MS, 800 * MS):
         sent.clear()
         for _ in range(200):
@@ -490,9 +489,9 @@
     scene.list(*(f"a{n}" for n in range(10)))
     scene.released()
     scene.traffic(2 * S)
-    scene.agent.limit, before = 4.0, len(scene.out)
-    scene.engine.at(scene.engine.now + MS, lambda: None)
-    scene.engine.enter(scene.engine.now + 2 * S)
+    scene.agent.concurrency_limit, before = 4.0, len(scene.out)
+    scene.engine.call_at(scene.engine.now + MS, lambda: None)
+    scene.engine.advance_to(scene.engine.now + 2 * S)
     for _ in range(30):
         scene.take(scene.issue)
     assert len(scene.out) == before + 30
@@ -503,9 +502,9 @@
     scene = Scene(may_probe=False)
     scene.list("a0", "a1")
     scene.released()
-    scene.agent.limit = 0.5
+    scene.agent.concurrency_limit = 0.5
     scene.traffic(60 * S, every=250 * MS)
-    assert scene.agent.limit > 3.5
+    assert scene.agent.concurrency_limit > 3.5
 
 
 def test_clients_in_a_hurry_do_not_lower_the_bound():
@@ -513,13 +512,13 @@
     scene = Scene(may_probe=False, may_duplicate=True)
     scene.list("a0", "a1")
     scene.released()
-    scene.agent.limit = 8.0
+    scene.agent.concurrency_limit = 8.0
     for number in range(100):
         scene.take(scene.issue, left=300 * MS)
         scene.pass_to(scene.engine.now + 290 * MS)
         for dispatch in list(scene.out):
             scene.end(dispatch, TIMEOUT if number % 2 else "succeeded")
-    assert scene.agent.limit >= 8.0
+    assert scene.agent.concurrency_limit >= 8.0
 
 
 @pytest.mark.parametrize("before, least, most", [("fast", 3.3, 9.0), ("slow", 0.5, 3.0)])
@@ -535,7 +534,7 @@
             scene.pass_to(scene.engine.now + took)
             while scene.out:
                 scene.end(scene.out[0])
-    assert least <= scene.agent.limit <= most, scene.agent.limit
+    assert least <= scene.agent.concurrency_limit <= most, scene.agent.concurrency_limit
 
 
 def test_an_agent_may_have_four_out_from_its_first_moment():
@@ -552,7 +551,7 @@
     scene = Scene(may_probe=False)
     scene.list("a0", "a1")
     scene.released()
-    scene.order.billed_value, scene.agent.limit = 3.0, 4.0
+    scene.order.billed_value, scene.agent.concurrency_limit = 3.0, 4.0
     for operation in (scene.draw, scene.order):
         for _ in range(20):
             scene.take(operation)
@@ -567,9 +566,9 @@
     one, asked = scene.fleet["a0"], []
     scene.probe = asked.append
     scene.agent.on_probe(one, True, MS, {"queue": 3.0, "rate": 20.0, "mean_ms": 100.0})
-    assert one.learned.load == 5.0 and scene.agent.probes_tell
+    assert one.decision_state.load == 5.0 and scene.agent.probes_report_load
     scene.agent.on_probe(one, True, MS, {"rate": 20.0})
-    assert one.learned.load == 5.0
+    assert one.decision_state.load == 5.0
     scene.pass_to(5 * S)
     scene.take(scene.draw)
     assert not asked
@@ -591,14 +590,14 @@
 def test_a_vote_back_lapses_with_its_evidence():
     """Guards against false reports that add up over a stage: the count of an agent that voted back goes on."""
     scene = on_trial(flag_share=0.3, back_votes=3, agents=30, vote_life=2 * S)
-    scene.agent.votes = True
-    scene.agent.jury.share(0, False, 0, 60)
-    scene.agent.jury.share(0, True, 0, 3)
+    scene.agent.is_voter = True
+    scene.agent.evidence.add_pooled(0, False, 0, 60)
+    scene.agent.evidence.add_pooled(0, True, 0, 3)
     scene.agent.on_flag(scene.draw, scene.fleet["new0"], S)
     scene.agent.review()
     scene.traffic(8 * S)
     votes = [line for line in scene.lines if "vote back on" in line]
-    assert votes and float(votes[-1].split()[0]) < 6 and (scene.agent.vote or ("on",))[-1] != "back"
+    assert votes and float(votes[-1].split()[0]) < 6 and (scene.agent.current_vote or ("on",))[-1] != "back"
 
 
 def test_exposure_counts_by_operation():
@@ -606,7 +605,7 @@
     scene.list("old0")
     scene.stage(2, 0, 0.1)
     scene.list("new0", build=2)
-    scene.agent.limit = 100
+    scene.agent.concurrency_limit = 100
     for operation in (scene.draw, scene.order) * 3:
         scene.take(operation)
     sent = [d.invocation.operation.name for d in scene.out if d.appliance.build == 2]
@@ -655,7 +654,7 @@
                 control="share",
             )
             scene.stage(2, 0, 0.1)
-            drawn += scene.agent.votes
+            drawn += scene.agent.is_voter
         assert 108 <= drawn < 160, drawn
 
 
@@ -689,14 +688,14 @@
     scene, used = Scene(connect_price=price, may_probe=False), set()
     scene.list(*(f"a{n}" for n in range(40)))
     scene.released()
-    scene.traffic(3 * S, lambda d: (used.add(d.appliance.ident), "succeeded")[1])
+    scene.traffic(3 * S, lambda d: (used.add(d.appliance.id), "succeeded")[1])
     assert least <= len(used) <= most, len(used)
 
 
 def test_of_a_life_before_what_is_not_known_counts_as_worst():
     """A key that may be bound goes to no earlier machine while the trial is on, and the free dispatches are spent."""
     scene = Scene(one_way=True, free=2.0)
-    scene.agent.recall({"known": 2}, True, True)
+    scene.agent.restore({"known": 2}, True, True)
     scene.list(*EARLIER)
     assert not scene.take(scene.draw, key="other").dispatches  # before any word of a stage
     scene.stage(2, 0, 0.2)
@@ -713,7 +712,7 @@
 
 def test_where_keys_go_both_ways_nothing_was_forgotten():
     scene = Scene(free=2.0)
-    scene.agent.recall({}, True, True)
+    scene.agent.restore({}, True, True)
     scene.list(*EARLIER)
     scene.stage(2, 0, 0.2)
     scene.take(scene.draw, key="any")
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -48,13 +48,15 @@
     shares = {number: division.joined(number, 0) for number in range(1, 9)}
     before = {f"m{n}": division.may_carry(f"m{n}") for n in range(60)}
     assert all(len(may) == 2 for may in before.values())
-    for ident, may in before.items():
+    for appliance_id, may in before.items():
         for holder in shares.values():
-            assert division.carrier(holder, ident, 0).number in may
+            assert division.carrier(holder, appliance_id, 0).number in may
     division.lost(5)
-    moved = [ident for ident in before if division.may_carry(ident) != before[ident]]
-    assert moved and all(5 in before[ident] for ident in moved)
-    assert all(len(division.may_carry(ident) & before[ident]) == 1 for ident in moved)
+    moved = [
+        appliance_id for appliance_id in before if division.may_carry(appliance_id) != before[appliance_id]
+    ]
+    assert moved and all(5 in before[appliance_id] for appliance_id in moved)
+    assert all(len(division.may_carry(appliance_id) & before[appliance_id]) == 1 for appliance_id in moved)
 
 
 def test_a_part_that_stands_still_carries_for_no_other():
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -90,13 +90,13 @@
 
     def start(self, dispatch, call):
         self.say(
-            f"dispatch {dispatch.invocation.ident}.{dispatch.number} to {dispatch.appliance.ident} for {dispatch.patience}"
+            f"dispatch {dispatch.invocation.id}.{dispatch.number} to {dispatch.appliance.id} for {dispatch.timeout}"
         )
-        self.out[dispatch.invocation.ident, dispatch.number] = dispatch
+        self.out[dispatch.invocation.id, dispatch.number] = dispatch
         return Attempt(self, dispatch)
 
     def probe(self, appliance):
-        self.say(f"probe {appliance.ident}")
+        self.say(f"probe {appliance.id}")
 
     def vote(self, build, stage, verdict):
         self.say(f"vote {verdict} {build} {stage}")
@@ -119,21 +119,21 @@
         self.fake, self.dispatch = fake, dispatch
 
     def abandon(self, late):
-        self.fake.say(f"cancel {self.dispatch.invocation.ident}.{self.dispatch.number}")
+        self.fake.say(f"cancel {self.dispatch.invocation.id}.{self.dispatch.number}")
 
 
 class Call:
     def __init__(self, fake, ident):
-        self.fake, self.ident = fake, ident
+        self.fake, self.id = fake, ident
 
     def succeed(self, *answer):
         pass
 
     def throttle(self, retry_after):
-        self.fake.say(f"throttle {self.ident} {retry_after}")
+        self.fake.say(f"throttle {self.id} {retry_after}")
 
     def terminate(self):
-        self.fake.say(f"terminate {self.ident}")
+        self.fake.say(f"terminate {self.id}")
 
 
 def ms(time):
@@ -194,8 +194,8 @@
 def day(seed, bad):
     """Drawn events at the agent's door, and the same ones as lines for the drill."""
     chance, start = random.Random(seed), 1_000_000
-    fake, known = Fake(start), known_from(PARAMS)
-    seat = Seat(fake, known, 7)
+    fake, settings = Fake(start), known_from(PARAMS)
+    seat = Seat(fake, settings, 7)
     events = [(start, [f"SPAWN\tagent=agent_1\trngSeed=7\tparams={json.dumps(PARAMS)}"])]
     number = 0
 
@@ -213,13 +213,13 @@
 
     def ended(dispatch, how, load=None, answer=None, passed=False):
         """Each end that the agent's door tells, the drill is told by a line."""
-        if dispatch.ended is None:
+        if dispatch.result is None:
             done = how == ours.SUCCEEDED or dispatch.invocation.concluded
             events.append(
                 (
                     fake.time,
                     [
-                        f"COMPLETED\tagent=agent_1\trequestId={dispatch.invocation.ident}\tappliance={dispatch.appliance.ident}"
+                        f"COMPLETED\tagent=agent_1\trequestId={dispatch.invocation.id}\tappliance={dispatch.appliance.id}"
                         f"\tshot={dispatch.number}\tverdict={CODES[how]}\tcomplete={int(done)}\trtt={ms(fake.time - dispatch.sent)}"
                     ],
                 )
@@ -285,9 +285,9 @@
                 lambda: seat.probed(seat.roster.appliances[ident], True, 1000, None),
             )
         elif fake.out:
-            inv, shot = chance.choice(list(fake.out))
-            dispatch = fake.out.pop((inv, shot))
-            if dispatch.ended is not None:
+            invocation, shot = chance.choice(list(fake.out))
+            dispatch = fake.out.pop((invocation, shot))
+            if dispatch.result is not None:
                 continue
             how = chance.choice(
                 (ours.SUCCEEDED,) * 20 + (ours.ERROR, ours.FULL, ours.UNCONNECTED, ours.RESET, ours.TIMEOUT)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -288,7 +288,7 @@
     held = Held()
     async with ground(held, sockets=64) as it:
         await it.noted("list")
-        it.daemon.seat.engine.agent.limit = (
+        it.daemon.seat.engine.agent.concurrency_limit = (
             1000.0  # nothing is held inside: a request that is read goes out at once
         )
         inside = [Raw(it.address) for _ in range(it.daemon.front.most)]
@@ -378,15 +378,15 @@
     async with ground(Appliance()) as it:
         await it.noted("list")
         agent = it.daemon.seat.engine.agent
-        limit, agent.limit = agent.limit, 0.0
+        limit, agent.concurrency_limit = agent.concurrency_limit, 0.0
         client = Raw(it.address)
         client.write(ask("gone"))
-        await until(lambda: agent.held and it.daemon.clock.now() > agent.held[0].taken + 2 * links.HELD)
+        await until(lambda: agent.held and it.daemon.clock.now() > agent.held[0].arrived_at + 2 * links.HELD)
         client.socket.close()
-        agent.limit = limit
+        agent.concurrency_limit = limit
         it.daemon.seat.enter()
-        agent.stir()
-        it.daemon.seat.engine.settle()
+        agent.wake_held()
+        it.daemon.seat.engine.resume_woken()
         await until(lambda: not it.daemon.front.clients and not it.daemon.seat.calls)
         other = Raw(it.address)
         other.write(ask("other"))
@@ -424,8 +424,8 @@
         await until(lambda: late)
         late[0].ready()
         await until(lambda: len(late) > 1)
-        (inv,) = it.daemon.seat.calls
-        inv.dispatches[0].sent -= inv.operation.window
+        (invocation,) = it.daemon.seat.calls
+        invocation.dispatches[0].sent -= invocation.operation.window
         for one in late[1:]:
             one.ready()
         status, _, _ = await client.answer()
@@ -467,11 +467,13 @@
     async with ground(*(Cutting(plan) for _ in range(4))) as it:
         client = Raw(it.address)
         for cut in range(whole + 1):
-            it.daemon.seat.engine.agent.spare_retries = (
+            it.daemon.seat.engine.agent.retry_budget = (
                 10.0  # what is tried here is one exchange, not a storm of them
             )
             for appliance in it.daemon.seat.roster.appliances.values():
-                appliance.learned.silences = appliance.learned.strikes = appliance.learned.shut_until = 0
+                appliance.decision_state.unanswered_count = appliance.decision_state.closures = (
+                    appliance.decision_state.closed_until
+                ) = 0
             plan.append((cut, how))
             client.write(ask(f"x{cut:03d}", operation))
             status, _, body = await client.answer()
@@ -559,7 +561,7 @@
         client = Raw(it.address)
         client.write(ask("crossing", operation))
         await held.got(1)
-        (inv,), (attempt,) = it.daemon.seat.calls, it.daemon.seat.attempts.values()
+        (invocation,), (attempt,) = it.daemon.seat.calls, it.daemon.seat.attempts.values()
         it.discovery.tell(entry("s1", it.appliances[1]))
         await until(lambda: it.daemon.seat.roster.appliances["s1"].state == ours.READY)
         held.writers[-1].write(good(b"late"))  # goes to the kernel at once
@@ -612,7 +614,7 @@
         client.write(ask("hit", "view" if where != "give_up" else "issue", X_Timeout="600m"))
         status, _, _ = await client.answer()
         assert status in (500, 429) and [type(error) for error in told] == [ZeroDivisionError]
-        agent.spare_retries = 10.0
+        agent.retry_budget = 10.0
         client.write(ask("next"))
         assert (await client.answer())[::2] == (200, b"fine") and not it.daemon.seat.calls
 
@@ -625,15 +627,15 @@
         await it.noted("list")
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
         engine, raised = it.daemon.seat.engine, []
-        settle = engine.settle
+        settle = engine.resume_woken
 
         def faulty():
             settle()
-            if engine.agent.open and not raised:
+            if engine.agent.open_dispatches and not raised:
                 raised.append(True)
                 raise KeyError("on purpose")
 
-        engine.settle = faulty
+        engine.resume_woken = faulty
         client = Raw(it.address)
         client.write(ask("a"))
         await held.got(1)
@@ -658,8 +660,8 @@
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
         engine, rung = it.daemon.seat.engine, []
         now = it.daemon.clock.now()
-        engine.at(now + 10_000, lambda: 1 // 0)
-        engine.at(now + 20_000, lambda: rung.append(1))
+        engine.call_at(now + 10_000, lambda: 1 // 0)
+        engine.call_at(now + 20_000, lambda: rung.append(1))
         await until(lambda: rung)
 
 
@@ -881,7 +883,7 @@
 async def test_whatever_a_vote_is_answered_the_decisions_are_told(error):
     async with ground(Appliance()) as it:
         told, staged = [], it.daemon.seat.staged
-        it.daemon.seat.staged = lambda stage: (told.append(stage.answer), staged(stage))
+        it.daemon.seat.staged = lambda stage: (told.append(stage.vote_answer), staged(stage))
         it.desk.vote = lambda call: (
             json.dumps({"jsonrpc": "2.0", "id": call["id"], "error": error}).encode() + b"\n"
         )
@@ -896,7 +898,7 @@
     monkeypatch.setattr(front, "LATE_COMERS", 1_000)
     async with ground(Appliance()) as it, ground(Appliance()) as other:
         told, staged, calls = [], it.daemon.seat.staged, []
-        it.daemon.seat.staged = lambda stage: (told.append(stage.answer), staged(stage))
+        it.daemon.seat.staged = lambda stage: (told.append(stage.vote_answer), staged(stage))
         it.desk.vote = lambda call: calls.append(call) or b""
         await until(lambda: it.desk.listeners)
         it.daemon.vote(2, 0, "on")
--- a/tests/test_list_trust.py
+++ b/tests/test_list_trust.py
@@ -106,9 +106,9 @@
     scene.pass_to(10 * S + TRUSTED - S)
     scene.take(scene.draw)
     dispatch = scene.out[-1]
-    assert scene.engine.leaves(dispatch)
+    assert scene.engine.may_send(dispatch)
     scene.pass_to(10 * S + TRUSTED)
-    assert not scene.engine.leaves(dispatch)
+    assert not scene.engine.may_send(dispatch)
 
 
 def test_further_calls_without_an_answer_do_not_renew_the_trust():
@@ -119,7 +119,7 @@
     assert not dispatched(scene)
 
 
-@pytest.mark.parametrize("word", [ours.CHANGES, ours.WHOLE, ours.CURRENT])
+@pytest.mark.parametrize("word", [ours.DELTA, ours.SNAPSHOT, ours.UNCHANGED])
 def test_any_word_of_discovery_renews_the_trust(word):
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=0)
@@ -141,7 +141,7 @@
     assert not dispatched(scene)
 
 
-@pytest.mark.parametrize("how", [ours.AWAY, ours.UNANSWERED])
+@pytest.mark.parametrize("how", [ours.UNREACHABLE, ours.UNANSWERED])
 def test_discovery_is_asked_again_also_where_the_failure_took_no_time(how):
     scene = scene_with_list()
     scene.lines.clear()
@@ -154,11 +154,11 @@
     """Discovery announces nothing while it is away, but the list that the process was given may be older."""
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=None)
-    scene.agent.on_list(ours.AWAY, [])
+    scene.agent.on_list(ours.UNREACHABLE, [])
     scene.pass_to(10 * S + GRACE)
     assert not dispatched(scene)
-    scene.agent.on_list(ours.CURRENT, [])
-    scene.agent.on_list(ours.AWAY, [])
+    scene.agent.on_list(ours.UNCHANGED, [])
+    scene.agent.on_list(ours.UNREACHABLE, [])
     scene.pass_to(scene.engine.now + TRUSTED)
     assert dispatched(scene)
 
@@ -166,9 +166,9 @@
 def test_discovery_that_has_not_answered_for_longer_than_any_queue_is_presumed_away():
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=0)
-    scene.pass_to(10 * S + logic.PRESUMED_AWAY - MS)
+    scene.pass_to(10 * S + logic.PRESUMED_DOWN_AFTER - MS)
     assert not dispatched(scene)
-    scene.pass_to(10 * S + logic.PRESUMED_AWAY)
+    scene.pass_to(10 * S + logic.PRESUMED_DOWN_AFTER)
     assert dispatched(scene)
 
 
@@ -179,19 +179,19 @@
             scene = scene_with_list(seed)
             for _ in range(misses):
                 scene.agent.on_list(ours.UNANSWERED, [], waited=2 * S)
-            pauses.append(scene.agent.asks_at - scene.engine.now)
+            pauses.append(scene.agent.next_subscribe_at - scene.engine.now)
         assert longest // 2 < max(pauses) < longest
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=MS)
-    assert scene.agent.asks_at - scene.engine.now >= S - MS
-    scene.agent.on_list(ours.CHANGES, [])
-    assert scene.agent.misses == 0
+    assert scene.agent.next_subscribe_at - scene.engine.now >= S - MS
+    scene.agent.on_list(ours.DELTA, [])
+    assert scene.agent.failed_calls == 0
 
 
 def test_discovery_that_is_out_of_reach_ends_no_trust():
     """It has told nobody anything: the agents go on by the lists they have, however long it is away."""
     scene = scene_with_list()
-    for how in (ours.AWAY, ours.FAILED):
+    for how in (ours.UNREACHABLE, ours.FAILED):
         for _ in range(30):
             scene.agent.on_list(how, [])
             scene.pass_to(scene.engine.now + S)
@@ -201,7 +201,7 @@
 def test_calls_that_discovery_does_not_answer_end_the_trust_once_it_may_be_back_for_long_enough():
     """It went away, and nobody knows when it came back, but not within RESTART_TIME."""
     scene = scene_with_list()
-    scene.agent.on_list(ours.AWAY, [])
+    scene.agent.on_list(ours.UNREACHABLE, [])
     for _ in range(3):
         scene.pass_to(scene.engine.now + 2 * S)
         scene.agent.on_list(ours.UNANSWERED, [], waited=2 * S)
@@ -216,7 +216,7 @@
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=0)
     scene.pass_to(10 * S + TRUSTED - S)
-    scene.agent.on_list(ours.AWAY, [])
+    scene.agent.on_list(ours.UNREACHABLE, [])
     scene.pass_to(scene.engine.now + TRUSTED - logic.LEASE_MARGIN - MS)
     assert dispatched(scene)
     scene.pass_to(scene.engine.now + MS)
@@ -257,7 +257,7 @@
             await asyncio.sleep(0.01)
         client = await it.client()
         assert (await client.say(ask("a")))[0] == 200
-    assert reports[:1] == [ours.AWAY]
+    assert reports[:1] == [ours.UNREACHABLE]
 
 
 @sockets
@@ -282,7 +282,7 @@
         wait = 0.0
         await it.daemon.discovery._fetching()
         server.close()
-    assert [how for how, _ in ends] == [ours.UNANSWERED, ours.AWAY]
+    assert [how for how, _ in ends] == [ours.UNANSWERED, ours.UNREACHABLE]
     assert ends[0][1] >= 200 * MS
 
 
@@ -313,7 +313,7 @@
         while len(reports) < 2:
             await asyncio.sleep(0.005)
         server.stop()
-    assert reports[:2] == [ours.AWAY, ours.UNANSWERED]
+    assert reports[:2] == [ours.UNREACHABLE, ours.UNANSWERED]
 
 
 @sockets
@@ -324,7 +324,7 @@
         it.discovery.watches[0].write(b"1\r\n\n\r\n")
         while not reports:
             await asyncio.sleep(0.005)
-    assert reports[0] == ours.CURRENT
+    assert reports[0] == ours.UNCHANGED
 
 
 @sockets
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -10,7 +10,7 @@
 from test_processes import Offering
 
 from cartweir.agent.daemon import Daemon
-from cartweir.logic import SAMPLED
+from cartweir.logic import TALLY_STREAM
 from cartweir.proto import agent_pb2 as pb
 from cartweir.settings.ini import BadInputError, read_agent
 from cartweir.settings.migration import migrate_settings, write_new_file
@@ -72,9 +72,13 @@
         new.operations["view"].methods == was.operations["view"].methods
         and new.operations["view"].time_limit == 3_000_000
     )
-    known = new.decision_settings()
-    assert known["tally_time"] == 200_000 and known["guarded_stages"] == 1 and known["drain_grace"] == 500_000
-    assert known["connect_timeout"] == 100_000 and was.decision_settings()["tally_time"] == 0
+    decision_settings = new.decision_settings()
+    assert (
+        decision_settings["tally_time"] == 200_000
+        and decision_settings["guarded_stages"] == 1
+        and decision_settings["drain_grace"] == 500_000
+    )
+    assert decision_settings["connect_timeout"] == 100_000 and was.decision_settings()["tally_time"] == 0
     assert moved.not_carried_over == [
         "[allowed] may_probe = no: the shape has yes",
         "[allowed] may_message = yes: the shape has none, so the default (False)",
@@ -168,7 +172,7 @@
         await asyncio.wait_for(listed, 10)
         conveyor.listed.set()
         await asyncio.wait_for(heard.wait(), 10)
-        judge = it.daemon.seat.engine.agent.jury.judges[None, SAMPLED]
+        judge = it.daemon.seat.engine.agent.evidence.streams[None, TALLY_STREAM]
         assert (
             judge.counts == [76, 0] and 0 < judge.failures[0] < 8
         )  # of the earlier build, with little traffic on trial
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -97,7 +97,7 @@
     async with rig(tmp_path, answer) as it:
         daemon, fired, real = it.daemon, asyncio.Event(), it.daemon.clock.now
         due = real() + 20_000
-        daemon.seat.engine.at(due, fired.set)
+        daemon.seat.engine.call_at(due, fired.set)
         alarms, early = daemon.alarms, []
         fire = alarms._fire
 
@@ -121,7 +121,7 @@
 async def test_an_alarm_that_an_event_has_forestalled_does_not_take_the_next_with_it(tmp_path):
     async with rig(tmp_path, answer) as it:
         engine, now, fired = it.daemon.seat.engine, it.daemon.clock.now(), asyncio.Event()
-        engine.at(now + 1000, lambda: engine.at(now + 40_000, fired.set))
+        engine.call_at(now + 1000, lambda: engine.call_at(now + 40_000, fired.set))
         while it.daemon.clock.now() < now + 1000:
             pass
         it.daemon.seat.enter()  # an event comes before the alarm's turn
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -436,7 +436,7 @@
     """The part of a Seat that datagrams reach."""
 
     def __init__(self, me):
-        self.known, self.said = {"me": me}, []
+        self.settings, self.said = {"me": me}, []
 
     def told(self, sender, figures):
         self.said.append((sender, figures))
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -11,7 +11,7 @@
             False, [Row(f"s{number}", 1, run=number), Row(f"s{number - 4}", 1, run=number - 4, state=GONE)]
         )
     assert len(roster.appliances) < 20 + 2 * SPARE_GONE and len(roster._runs) == len(roster.appliances)
-    assert [a.ident for a in roster.appliances.values() if a.state == READY] == [
+    assert [a.id for a in roster.appliances.values() if a.state == READY] == [
         f"s{n}" for n in range(4996, 5000)
     ]
     assert f"s{4995 - SPARE_GONE // 2}" in roster.appliances  # who went of late is still known
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -38,9 +38,13 @@
 
 def test_a_document_becomes_the_plain_map(tmp_path):
     document = read_agent(settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", allowed="dispatch_limit = 3"))
-    known = document.decision_settings()
-    assert known["caps"] == (0.2, 1.0) and known["dispatch_limit"] == 3 and known["tick"] == 20_000
-    assert known["must_ask"] is False and known["window"] == 4_000_000
+    decision_settings = document.decision_settings()
+    assert (
+        decision_settings["caps"] == (0.2, 1.0)
+        and decision_settings["dispatch_limit"] == 3
+        and decision_settings["tick"] == 20_000
+    )
+    assert decision_settings["must_ask"] is False and decision_settings["window"] == 4_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wire_grpc.py
+++ b/tests/test_wire_grpc.py
@@ -54,20 +54,20 @@
 
     def on_stream(self, stream, headers):
         self.streams.append(stream)
-        self.heard.append(("stream", stream.ident))
+        self.heard.append(("stream", stream.id))
         return self
 
     def on_headers(self, stream, headers):
-        self.heard.append(("headers", stream.ident))
+        self.heard.append(("headers", stream.id))
 
     def on_data(self, stream, data):
-        self.heard.append(("data", stream.ident, len(data)))
+        self.heard.append(("data", stream.id, len(data)))
 
     def on_end(self, stream, trailers):
-        self.heard.append(("end", stream.ident, len(trailers)))
+        self.heard.append(("end", stream.id, len(trailers)))
 
     def on_gone(self, stream, how, code):
-        self.heard.append(("gone", stream.ident, how))
+        self.heard.append(("gone", stream.id, how))
 
     def on_sent(self, stream, size): ...
     def on_settled(self): ...
@@ -123,7 +123,7 @@
     slow.send_data(b"s" * 300_000, end=True)
     brisk.send_data(b"b" * 60_000, end=True)
     exchange(client, server)
-    got = {ident: sum(h[2] for h in server.heard if h[:2] == ("data", ident)) for ident in (1, 3)}
+    got = {stream_id: sum(h[2] for h in server.heard if h[:2] == ("data", stream_id)) for stream_id in (1, 3)}
     assert got == {1: 65_535, 3: 60_000} and slow.queued == 300_000 - 65_535
     server.streams[0].taken(65_535)
     exchange(client, server)
@@ -160,7 +160,7 @@
     server.session.receive(late)
     server.streams[0].send_headers([(b":status", b"200"), *grpc.trailers(0)], end=True)
     exchange(client, server)
-    assert client.take() == [("end", 1, 2)] and [s.ident for s in server.streams] == [1]
+    assert client.take() == [("end", 1, 2)] and [s.id for s in server.streams] == [1]
     assert not client.session.room and client.session.broken is None
 
 
@@ -171,7 +171,7 @@
     server.streams[0].reset(7)
     server.streams[1].reset(2)
     exchange(client, server)
-    assert client.take() == [("gone", one.ident, REFUSED), ("gone", two.ident, RESET)]
+    assert client.take() == [("gone", one.id, REFUSED), ("gone", two.id, RESET)]
 
 
 def test_what_came_before_a_fault_is_heard():
@@ -181,5 +181,5 @@
     exchange(client, server)
     server.streams[0].send_headers([(b":status", b"200"), *grpc.trailers(0)], end=True)
     client.session.receive(server.session.pump(1 << 20) + b"\0\0\x04\x08\0\0\0\0\0\0\0\0\0")
-    assert client.take() == [("end", one.ident, 2), ("gone", two.ident, LOST)]
+    assert client.take() == [("end", one.id, 2), ("gone", two.id, LOST)]
     assert "FlowControl" in client.session.broken or "Protocol" in client.session.broken
--- a/tests/virtual_agent.py
+++ b/tests/virtual_agent.py
@@ -57,7 +57,7 @@
     """The World of a Seat."""
 
     def __init__(
-        self, platform: VirtualDiscovery, known: Mapping[str, Any], seed: int, listed: Mapping[str, Any]
+        self, platform: VirtualDiscovery, settings: Mapping[str, Any], seed: int, listed: Mapping[str, Any]
     ) -> None:
         self.platform, self.loop, self.trace = platform, platform.loop, platform.trace
         self.life = Life(len(self.trace.lives), self.loop.time())
@@ -69,11 +69,11 @@
         self.discovery: Discovery | None = None
         self.alarms = Alarms(TimerAdapter(self.loop), self.now, self._alarm)
         self.links = Links(Reach(250_000, 250_000, 0, 100), self.now, self.note)
-        self.seat = self.links.seat = Seat(self, known, seed)
-        waits = None if known["must_ask"] else Waits(*RECONNECT, random.Random(seed + 2))
+        self.seat = self.links.seat = Seat(self, settings, seed)
+        waits = None if settings["must_ask"] else Waits(*RECONNECT, random.Random(seed + 2))
         self.discovery = Discovery(self.seat, self.links, platform.address, self.now, self.note, waits)
         self.discovery.start(listed)
-        if self._subscribe_later or not known["must_ask"]:
+        if self._subscribe_later or not settings["must_ask"]:
             self.discovery.subscribe()
         self.seat.staged(Stage(1, 2, RELEASED, 1.0, 60_000_000))
         self._take()
@@ -111,7 +111,7 @@
 
     def start(self, dispatch: Dispatch, call: Any) -> PendingAnswer:
         if self.alive:
-            self.trace.sends.append(Send(self.life, self.loop.time(), dispatch.appliance.ident))
+            self.trace.sends.append(Send(self.life, self.loop.time(), dispatch.appliance.id))
         return PendingAnswer(self.loop.call_later(SERVICE_TIME, self._served, dispatch))
 
     def _served(self, dispatch: Dispatch) -> None:
--- a/tests/virtual_scenario.py
+++ b/tests/virtual_scenario.py
@@ -138,7 +138,7 @@
             "release": 1,
         }
 
-    def known(self) -> Mapping[str, Any]:
+    def decision_settings(self) -> Mapping[str, Any]:
         mode = "on_request" if self.scenario.asked else "pushed"
         safety = {**SETTINGS["safety"], "drainGrace": self.scenario.grace * 1000}
         allowed = {**SETTINGS["allowed"], "peers": False}
@@ -148,7 +148,7 @@
 
     def start_agent(self, listed: Mapping[str, Any]) -> None:
         self.agent = VirtualAgent(
-            self.discovery, self.known(), self.scenario.seed + len(self.answers), listed
+            self.discovery, self.decision_settings(), self.scenario.seed + len(self.answers), listed
         )
         self.answers.append(self.agent.answers)
 
