--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -29,7 +29,7 @@
 from h2.events import DataReceived, StreamEnded  # noqa: E402
 from h2.settings import SettingCodes  # noqa: E402
 
-from cartweir.agent.daemon import Daemon, make_log  # noqa: E402
+from cartweir.agent.daemon import Daemon, make_logger  # noqa: E402
 from cartweir.proto import agent_pb2 as pb  # noqa: E402
 from cartweir.settings.ini import read_agent  # noqa: E402
 from cartweir.standin.registry import Registry  # noqa: E402
@@ -173,14 +173,14 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "agent.ini"
         file.write_text(SETTINGS.format(registry=registry.listen_on("127.0.0.1:0")))
-        daemon = Daemon(read_agent(file), make_log("json", "error"))
+        daemon = Daemon(read_agent(file), make_logger("json", "error"))
     address = daemon.start_up()
-    daemon.seat.engine.agent.concurrency_limit = 1e6
+    daemon.engine_host.engine.agent.concurrency_limit = 1e6
     seed_flaw(daemon, flaw)
     host, port = address.split(":")
     client = Side(socket.create_connection((host, int(port))), True)
     await client.say()
-    while not daemon.seat.engine.agent.fleet:
+    while not daemon.engine_host.engine.agent.fleet:
         await asyncio.sleep(0.005)
 
     burst = [1]
@@ -192,7 +192,9 @@
     for _ in range(3):  # buffers, header tables and histograms are filled
         await burst_of(client, count, size)
     counted.agents = {link._stream.socket.fileno() for link in daemon.front.links} | {
-        owner.link._stream.socket.fileno() for pool in daemon.links.pools.values() for owner in pool.open
+        owner.link._stream.socket.fileno()
+        for pool in daemon.appliance_pools.pools.values()
+        for owner in pool.open
     }
     await asyncio.sleep(0.1)
     gc.collect()
@@ -201,7 +203,7 @@
     for _ in range(rounds):
         await burst_of(client, count, size)
     counted.on = False
-    while daemon.seat.calls or daemon.front._owed:
+    while daemon.engine_host.calls or daemon.front._owed:
         await asyncio.sleep(0.01)
     calls = rounds * count
     kept = sys.getallocatedblocks() - blocks
@@ -213,7 +215,7 @@
     gc.enable()
     found = {name: counted.counts[name] / calls for name in ("send", "recv_into")}
     counted.counts.clear()
-    timers = len(daemon.seat.engine._timers)
+    timers = len(daemon.engine_host.engine._timers)
     served.cancel()
     daemon._end()
     registry.shut()
@@ -232,13 +234,13 @@
 
 def seed_flaw(daemon: Daemon, flaw: str) -> None:
     """Faults that the budget must catch."""
-    seat = daemon.seat
+    engine_host = daemon.engine_host
     if flaw == "syscall":
-        start = seat.world.start
+        start = engine_host.world.start
 
         def twice(dispatch: Any, call: Any) -> Any:
             attempt = start(dispatch, call)
-            for pool in daemon.links.pools.values():
+            for pool in daemon.appliance_pools.pools.values():
                 for owner in pool.open:
                     owner.link.flush()  # a write of its own instead of one a turn
             return attempt
@@ -246,7 +248,7 @@
         daemon.start = twice
     elif flaw in ("leak", "cycle"):
         kept: list[Any] = []
-        ended = seat.ended
+        ended = engine_host.dispatch_ended
 
         def holds(dispatch: Any, *args: Any, **more: Any) -> None:
             ended(dispatch, *args, **more)
@@ -256,7 +258,7 @@
             else:
                 dispatch.invocation.dispatches = [dispatch]
 
-        seat.ended = holds
+        engine_host.dispatch_ended = holds
 
 
 def over(found: list[dict[str, float]], budget: dict[str, dict[str, float]]) -> list[str]:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -273,9 +273,9 @@
 
 def decisions_alone(calls: int) -> float:
     """Microseconds of CPU of seat, engine and module for one invocation that succeeds at once, without sockets."""
-    from cartweir.agent.daemon import operations_of
-    from cartweir.hosting.roster import Row
-    from cartweir.hosting.seat import Seat
+    from cartweir.agent.daemon import build_operations
+    from cartweir.hosting.appliance_list import ListEntry
+    from cartweir.hosting.engine_host import EngineHost
     from cartweir.settings.ini import read_agent
 
     class World:
@@ -292,19 +292,23 @@
 
         def nothing(self, *args: Any, **more: Any) -> None: ...
 
-        alarm_at = note = soon = abandon = vote = probe = message = succeed = throttle = terminate = nothing
+        schedule_alarm = log_event = run_soon = abandon = vote = probe = message = succeed = throttle = (
+            terminate
+        ) = nothing
 
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "agent.ini"
         file.write_text(SETTINGS.format(registry="127.0.0.1:9"))
         document = read_agent(file)
-    world = World()
-    seat = Seat(world, {**document.decision_settings(), "operations": operations_of(document)}, 1)
-    seat.listed("whole", [Row(f"b{n}", 1, 1) for n in range(8)])
+    environment = World()
+    engine_host = EngineHost(
+        environment, {**document.decision_settings(), "operations": build_operations(document)}, 1
+    )
+    engine_host.apply_list("whole", [ListEntry(f"b{n}", 1, 1) for n in range(8)])
     began = time.process_time()
     for _ in range(calls):
-        seat.take(world, seat.operations["get"], world.now(), 60_000_000)
-        seat.ended(world.started, "succeeded", answer=((), [], ()))
+        engine_host.accept(environment, engine_host.operations["get"], environment.now(), 60_000_000)
+        engine_host.dispatch_ended(environment.started, "succeeded", answer=((), [], ()))
     return (time.process_time() - began) / calls * 1e6
 
 
--- a/cartweir/agent/links.py
+++ b/cartweir/agent/appliance_pools.py
@@ -11,8 +11,8 @@
 from tornado.ioloop import IOLoop
 
 from .. import interface as ours
-from ..hosting.pools import Pools
-from ..hosting.seat import Seat
+from ..hosting.engine_host import EngineHost
+from ..hosting.pools import ConnectionPools
 from ..hosting.tcp import connect, spawn, split_address
 from ..interface import Appliance, Dispatch
 from ..proto import health_pb2
@@ -20,15 +20,15 @@
 from ..wire.grpc import BodyWalk, Headers, Malformed
 from ..wire.link import Link, Tap
 from ..wire.session import Limits, Stream
-from . import names
+from . import grpc_mapping
 from .front import ClientCall
 
 PROBE = b"/grpc.health.v1.Health/Check"
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
 @dataclass(frozen=True, slots=True)
-class Reach:
+class ApplianceOptions:
     """How appliances are reached; times in microseconds, sizes in bytes."""
 
     me: int
@@ -43,14 +43,16 @@
     limits: Limits
 
 
-class Links(Pools["Pool"]):
+class AppliancePools(ConnectionPools["Pool"]):
     """All connections to appliances of one agent."""
 
-    def __init__(self, reach: Reach, now: Callable[[], int], note: Note, tap: Tap | None = None) -> None:
+    def __init__(
+        self, reach: ApplianceOptions, now: Callable[[], int], log_event: EventLogger, tap: Tap | None = None
+    ) -> None:
         super().__init__(lambda address: Pool(self, address))
-        self.reach, self.now, self.note, self.tap = reach, now, note, tap
+        self.reach, self.now, self.log_event, self.tap = reach, now, log_event, tap
         self.loop = IOLoop.current()
-        self.seat: Seat | None = None  # set once the seat is there
+        self.engine_host: EngineHost | None = None  # set once the seat is there
 
     def start(self, dispatch: Dispatch, call: ClientCall) -> Attempt:
         attempt = Attempt(self, dispatch, call)
@@ -69,8 +71,8 @@
     """Connections to one address. What finds no room on them waits here, though no longer than a connection may
     take, and the decisions are asked once more before it goes."""
 
-    def __init__(self, links: Links, address: str) -> None:
-        self.links, self.address = links, address
+    def __init__(self, appliance_pools: AppliancePools, address: str) -> None:
+        self.appliance_pools, self.address = appliance_pools, address
         self.open: list[ApplianceLink] = []
         self._opening = 0
         self._waiting: deque[_Sent] = deque()
@@ -105,10 +107,10 @@
                 sent.go(link)
             elif goes is not None:
                 sent.unsent()
-        streams, busy = self.links.reach.streams, sum(not link.suspect for link in self.open)
+        streams, busy = self.appliance_pools.reach.streams, sum(not link.suspect for link in self.open)
         while (
             len(self._waiting) > self._opening * streams
-            and busy + self._opening < self.links.reach.connections
+            and busy + self._opening < self.appliance_pools.reach.connections
         ):
             self._opening += 1
             spawn(self._connect())
@@ -116,7 +118,7 @@
     async def _connect(self) -> None:
         """A connection counts once the other side's settings have come: a process that stands still has its
         connections accepted all the same, and nothing may be known to have run there."""
-        reach, began = self.links.reach, self.links.now()
+        reach, began = self.appliance_pools.reach, self.appliance_pools.now()
         try:
             stream = await connect(*split_address(self.address), reach.connect_timeout)
         except (OSError, ValueError) as error:
@@ -124,9 +126,9 @@
             self._failed(str(getattr(error, "strerror", None) or error))
             return
         owner = ApplianceLink(self)
-        owner.link = Link(stream, True, reach.limits, owner, self.links.tap)
-        left = began + reach.connect_timeout - self.links.now()
-        self.links.loop.call_later(max(0, left) / 1e6, owner.unsettled)
+        owner.link = Link(stream, True, reach.limits, owner, self.appliance_pools.tap)
+        left = began + reach.connect_timeout - self.appliance_pools.now()
+        self.appliance_pools.loop.call_later(max(0, left) / 1e6, owner.unsettled)
 
     def settled(self, link: ApplianceLink) -> None:
         self._opening -= 1
@@ -142,7 +144,7 @@
 
     def _failed(self, why: str) -> None:
         """No connection: what waits for one has not been sent, unless others may still take it."""
-        self.links.note("unconnected", level="debug", address=self.address, why=why)
+        self.appliance_pools.log_event("unconnected", level="debug", address=self.address, why=why)
         if not self._opening and all(link.suspect for link in self.open):
             waiting, self._waiting = self._waiting, deque()
             for sent in waiting:
@@ -173,14 +175,18 @@
         self.pool = pool
         self.settled = False  # the other side's settings have come
         self.suspect = False  # carries what it has, and nothing new
-        self._used = pool.links.now()
+        self._used = pool.appliance_pools.now()
         self._timer: Any = None
         self._pings = 0
 
     @property
     def room(self) -> bool:
         session = self.link.session
-        return session.room and not self.suspect and len(session.streams) < self.pool.links.reach.streams
+        return (
+            session.room
+            and not self.suspect
+            and len(session.streams) < self.pool.appliance_pools.reach.streams
+        )
 
     # ---- the link's owner ----
     def on_stream(self, stream: Stream, headers: Headers) -> None:
@@ -204,9 +210,11 @@
 
     def on_lost(self, link: Link, why: str) -> None:
         if self._timer is not None:
-            self.pool.links.loop.remove_timeout(self._timer)
+            self.pool.appliance_pools.loop.remove_timeout(self._timer)
             self._timer = None
-        self.pool.links.note("appliance_link_lost", level="debug", address=self.pool.address, why=why)
+        self.pool.appliance_pools.log_event(
+            "appliance_link_lost", level="debug", address=self.pool.address, why=why
+        )
         if self.settled:
             self.pool.lost(self)
         else:
@@ -216,7 +224,7 @@
     # ---- use ----
     def freed(self) -> None:
         """A stream has ended."""
-        self._used = self.pool.links.now()
+        self._used = self.pool.appliance_pools.now()
         if self.suspect:
             self.idle_check()
         self.pool.flow()
@@ -229,8 +237,8 @@
         self._pings += 1
         payload = self._pings.to_bytes(8, "big")
         self.link.session.ping(payload)
-        self.pool.links.loop.call_later(
-            self.pool.links.reach.connect_timeout / 1e6, self._unanswered, payload
+        self.pool.appliance_pools.loop.call_later(
+            self.pool.appliance_pools.reach.connect_timeout / 1e6, self._unanswered, payload
         )
 
     def _unanswered(self, payload: bytes) -> None:
@@ -244,14 +252,18 @@
         """Closed when it has carried nothing for the idle time, or at once if nothing more may go there."""
         if self.link.closed:
             return
-        links = self.pool.links
+        appliance_pools = self.pool.appliance_pools
         quiet = not self.link.session.streams
-        since = links.now() - self._used
-        if quiet and (self.suspect or since >= links.reach.idle_time):
-            links.loop.add_callback(self.link.close, "idle")
+        since = appliance_pools.now() - self._used
+        if quiet and (self.suspect or since >= appliance_pools.reach.idle_time):
+            appliance_pools.loop.add_callback(self.link.close, "idle")
         elif self._timer is None:
-            wait = max(links.reach.idle_time - since, 1000) if quiet else links.reach.idle_time
-            self._timer = links.loop.call_later(wait / 1e6, self._tick)
+            wait = (
+                max(appliance_pools.reach.idle_time - since, 1000)
+                if quiet
+                else appliance_pools.reach.idle_time
+            )
+            self._timer = appliance_pools.loop.call_later(wait / 1e6, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
@@ -263,20 +275,20 @@
 
     patience: int
 
-    def __init__(self, links: Links) -> None:
-        self.links = links
+    def __init__(self, appliance_pools: AppliancePools) -> None:
+        self.appliance_pools = appliance_pools
         self.over = False
         self.stream: Stream | None = None
         self._link: ApplianceLink | None = None
         self._pool: Pool | None = None  # in which it waits for a connection
         self._timer: Any = None
-        self.began = links.now()
+        self.began = appliance_pools.now()
 
     def arm(self, pool: Pool) -> None:
         """Waits for a connection from now on."""
         self._pool = pool
-        wait = min(self.patience, self.links.reach.connect_timeout)
-        self._timer = self.links.loop.call_later(wait / 1e6, self._out_of_time)
+        wait = min(self.patience, self.appliance_pools.reach.connect_timeout)
+        self._timer = self.appliance_pools.loop.call_later(wait / 1e6, self._out_of_time)
 
     def still_goes(self) -> bool | None:
         """It has waited; False: it must not go out any more; None: that is being asked."""
@@ -292,9 +304,9 @@
     def go(self, link: ApplianceLink) -> None:
         self._link = link
         if self._timer is not None:
-            self.links.loop.remove_timeout(self._timer)
-        left = self.began + self.patience - self.links.now()
-        self._timer = self.links.loop.call_later(max(0, left) / 1e6, self._out_of_time)
+            self.appliance_pools.loop.remove_timeout(self._timer)
+        left = self.began + self.patience - self.appliance_pools.now()
+        self._timer = self.appliance_pools.loop.call_later(max(0, left) / 1e6, self._out_of_time)
         self.stream = link.link.session.open(self.headers(max(left, 1)), self)
         self.send_body()
 
@@ -331,7 +343,7 @@
         """Nothing more is heard of it."""
         self.over = True
         if self._timer is not None:
-            self.links.loop.remove_timeout(self._timer)
+            self.appliance_pools.loop.remove_timeout(self._timer)
             self._timer = None
         if self._link is not None:
             self._link.freed()
@@ -343,32 +355,32 @@
 class Attempt(_Sent):
     """One dispatch on its way: its answer is held until it is whole or too large to hold, and then passed on."""
 
-    def __init__(self, links: Links, dispatch: Dispatch, call: ClientCall) -> None:
-        super().__init__(links)
+    def __init__(self, appliance_pools: AppliancePools, dispatch: Dispatch, call: ClientCall) -> None:
+        super().__init__(appliance_pools)
         self.dispatch, self.call = dispatch, call
         self.patience = dispatch.timeout or max(1, dispatch.invocation.deadline - self.began)
         self.head: Headers = ()
         self.body: list[bytes] = []
         self.held = 0
-        self.walk = BodyWalk(links.reach.answer)
+        self.walk = BodyWalk(appliance_pools.reach.answer)
         self.passing = False
 
     # ---- out ----
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
-        invocation, asked = self.dispatch.invocation, self.call.asked
+        invocation, asked = self.dispatch.invocation, self.call.request
         return grpc.request_headers(
             asked.path,
-            self.links.addresses.get(self.dispatch.appliance.id, "").encode(),
+            self.appliance_pools.addresses.get(self.dispatch.appliance.id, "").encode(),
             left,
             [
                 *asked.metadata,
-                (names.AGENT_HEADER, b"%d" % self.links.reach.me),
-                (names.DISPATCH_HEADER, b"%d.%d" % (invocation.id, self.dispatch.number)),
+                (grpc_mapping.AGENT_HEADER, b"%d" % self.appliance_pools.reach.me),
+                (grpc_mapping.DISPATCH_HEADER, b"%d.%d" % (invocation.id, self.dispatch.number)),
             ],
         )
 
     def still_goes(self) -> bool | None:
-        return self.links.seat.leaves(self.dispatch)
+        return self.appliance_pools.engine_host.may_send(self.dispatch)
 
     def send_body(self) -> None:
         for piece in self.call.body[:-1]:
@@ -390,7 +402,7 @@
         try:
             self.walk.feed(data)
         except Malformed as error:
-            self.links.note("bad_answer", appliance=self.dispatch.appliance.id, why=str(error))
+            self.appliance_pools.log_event("bad_answer", appliance=self.dispatch.appliance.id, why=str(error))
             stream.reset()
             self._end(ours.ERROR)
             return
@@ -400,11 +412,11 @@
         stream.taken(len(data))
         self.body.append(data)
         self.held += len(data)
-        if self.held > self.links.reach.hold:
+        if self.held > self.appliance_pools.reach.hold:
             self._pass_on()
 
     def _pass_on(self) -> None:
-        if not self.links.seat.begun(self.dispatch):
+        if not self.appliance_pools.engine_host.claim_answer(self.dispatch):
             self.stream.reset()  # another attempt's answer is being passed on
             self._end(ours.CANCELLED)
             return
@@ -412,50 +424,52 @@
         self.call.begin(self.stream, self.head, self.body)
         self.body = []
         # from here on the client's time alone counts
-        self.links.loop.remove_timeout(self._timer)
-        left = self.dispatch.invocation.deadline - self.links.reach.margin - self.links.now()
-        self._timer = self.links.loop.call_later(max(0, left) / 1e6, self._out_of_time)
+        self.appliance_pools.loop.remove_timeout(self._timer)
+        left = (
+            self.dispatch.invocation.deadline - self.appliance_pools.reach.margin - self.appliance_pools.now()
+        )
+        self._timer = self.appliance_pools.loop.call_later(max(0, left) / 1e6, self._out_of_time)
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
         if not stream.said_all:
             stream.reset(0)  # answered before it had read the whole request
-        how = names.outcome_of(self.head, trailers, self.walk.whole)
+        how = grpc_mapping.outcome_of(self.head, trailers, self.walk.whole)
         answer = None if self.passing or how != ours.SUCCEEDED else (self.head, self.body, trailers)
         if self.passing and how == ours.SUCCEEDED:
             answer = ((), [], trailers)
-        self._end(how, names.load_of(trailers), answer)
+        self._end(how, grpc_mapping.load_of(trailers), answer)
 
     def on_gone(self, stream: Stream, how: str, code: int) -> None:
-        self._end(names.GONE[how])
+        self._end(grpc_mapping.GONE[how])
 
     def unsent(self) -> None:
         if not self.over:
             self._end(ours.UNCONNECTED)
 
     def out_of_time(self) -> None:
-        self.links.seat.ended(self.dispatch, ours.TIMEOUT, passed=self.passing)
+        self.appliance_pools.engine_host.dispatch_ended(self.dispatch, ours.TIMEOUT, passed=self.passing)
 
     def _end(self, how: str, load: Mapping[str, float] | None = None, answer: tuple | None = None) -> None:
         if not self.over:
             self.done()
-            self.links.seat.ended(self.dispatch, how, load, answer, self.passing)
+            self.appliance_pools.engine_host.dispatch_ended(self.dispatch, how, load, answer, self.passing)
 
 
 class ProbeAttempt(_Sent):
     """One Check of grpc.health.v1."""
 
-    def __init__(self, links: Links, appliance: Appliance) -> None:
-        super().__init__(links)
-        self.appliance, self.patience = appliance, links.reach.probe_timeout
+    def __init__(self, appliance_pools: AppliancePools, appliance: Appliance) -> None:
+        super().__init__(appliance_pools)
+        self.appliance, self.patience = appliance, appliance_pools.reach.probe_timeout
         self.head: Headers = ()
         self.body = bytearray()
 
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
         return grpc.request_headers(
             PROBE,
-            self.links.addresses.get(self.appliance.id, "").encode(),
+            self.appliance_pools.addresses.get(self.appliance.id, "").encode(),
             left,
-            [(names.AGENT_HEADER, b"%d" % self.links.reach.me)],
+            [(grpc_mapping.AGENT_HEADER, b"%d" % self.appliance_pools.reach.me)],
         )
 
     def send_body(self) -> None:
@@ -477,7 +491,7 @@
                 serving = health_pb2.HealthCheckResponse.FromString(message).status == 1
             except (Malformed, ValueError, DecodeError):
                 serving = False
-        self._answer(serving, names.load_of(trailers))
+        self._answer(serving, grpc_mapping.load_of(trailers))
 
     def on_gone(self, stream: Stream, how: str, code: int) -> None:
         self._answer(False, None)
@@ -487,9 +501,13 @@
             self._answer(False, None)
 
     def out_of_time(self) -> None:
-        self.links.seat.probed(self.appliance, False, self.links.now() - self.began, None)
+        self.appliance_pools.engine_host.probe_ended(
+            self.appliance, False, self.appliance_pools.now() - self.began, None
+        )
 
     def _answer(self, serving: bool, load: Mapping[str, float] | None) -> None:
         if not self.over:
             self.done()
-            self.links.seat.probed(self.appliance, serving, self.links.now() - self.began, load)
+            self.appliance_pools.engine_host.probe_ended(
+                self.appliance, serving, self.appliance_pools.now() - self.began, load
+            )
--- a/cartweir/agent/news.py
+++ b/cartweir/agent/control_plane.py
@@ -15,22 +15,22 @@
 from .. import interface as ours
 from ..fleet.fencing import Fence, FencingToken
 from ..fleet.list_filter import NO_LIST, ListFilter, ListVersion
-from ..hosting.roster import Row
-from ..hosting.seat import Seat
+from ..hosting.appliance_list import ListEntry
+from ..hosting.backoff import Backoff
+from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import spawn
-from ..hosting.waits import Waits
 from ..interface import Stage, Tally
 from ..proto import agent_pb2 as pb
 from ..wire.calls import CallError, Channel
 from ..wire.grpc import Malformed, Status
-from .links import Links
-from .names import ANSWERS, CHOICES, PHASES, STATES
+from .appliance_pools import AppliancePools
+from .grpc_mapping import ANSWERS, CHOICES, PHASES, STATES
 
-Note = Callable[..., None]
-TELL = b"/cartweir.v1.Peer/Tell"
+EventLogger = Callable[..., None]
+PEER_MESSAGE_PATH = b"/cartweir.v1.Peer/Tell"
 
 
-def write_whole(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """The file holds the old text or the new one, never a part, and the new one from when this returns, also if the machine goes down:
     for that its folder is synced as well. Raises OSError."""
     part = path.with_name(path.name + ".part")
@@ -46,25 +46,37 @@
         os.close(folder)
 
 
-class RegistryNews:
+class RegistryClient:
     """The list. push: a watch is always wanted; ask: whenever the decisions ask."""
 
     def __init__(
         self,
-        seat: Seat,
-        links: Links,
+        engine_host: EngineHost,
+        appliance_pools: AppliancePools,
         channel: Channel,
         hello: pb.Hello,
         push: bool,
         timeout: int,
-        waits: Waits,
+        backoff: Backoff,
         now: Callable[[], int],
-        note: Note,
+        log_event: EventLogger,
         list_file: str | None,
         lists: ListFilter,
     ) -> None:
-        self.seat, self.links, self.channel, self.hello, self.lists = seat, links, channel, hello, lists
-        self.push, self.timeout, self.waits, self.now, self.note = push, timeout, waits, now, note
+        self.engine_host, self.appliance_pools, self.channel, self.hello, self.lists = (
+            engine_host,
+            appliance_pools,
+            channel,
+            hello,
+            lists,
+        )
+        self.push, self.timeout, self.backoff, self.now, self.log_event = (
+            push,
+            timeout,
+            backoff,
+            now,
+            log_event,
+        )
         self.file = Path(list_file) if list_file else None
         self._watch: asyncio.Task | None = None
         self._entries: dict[str, pb.Entry] = {}
@@ -82,11 +94,11 @@
                 kept = json.loads(self.file.read_text(encoding="utf-8"))
                 entries = [pb.Entry.FromString(bytes.fromhex(text)) for text in kept["entries"]]
                 self.lists.seen = ListVersion(int(kept.get("incarnation", 0)), int(kept["version"]))
-                self.note("list_from_disk", appliances=len(entries), version=int(kept["version"]))
+                self.log_event("list_from_disk", appliances=len(entries), version=int(kept["version"]))
             except FileNotFoundError:
                 pass
             except (OSError, ValueError, KeyError, TypeError, DecodeError) as error:
-                self.note("list_file_bad", level="warning", file=str(self.file), reason=str(error)[:200])
+                self.log_event("list_file_bad", level="warning", file=str(self.file), reason=str(error)[:200])
         self._apply("cached", entries)
         if self.push:
             self.subscribe()
@@ -110,9 +122,9 @@
         while self._to_keep is not None:
             text, self._to_keep = self._to_keep, None
             try:
-                await asyncio.get_running_loop().run_in_executor(None, write_whole, self.file, text)
+                await asyncio.get_running_loop().run_in_executor(None, write_atomically, self.file, text)
             except OSError as error:
-                self.note("list_file_bad", level="warning", file=str(self.file), reason=error.strerror)
+                self.log_event("list_file_bad", level="warning", file=str(self.file), reason=error.strerror)
 
     # ---- the watch ----
     def subscribe(self) -> None:
@@ -134,7 +146,7 @@
                 first = await asyncio.wait_for(anext(source), self.timeout / 1e6)
                 self._listing(first)
                 told = True
-                self.waits.fine()
+                self.backoff.reset()
                 async for message in source:
                     self._listing(message)
                 why = "the watch was ended"
@@ -146,15 +158,15 @@
                 why, advice = str(error), getattr(error, "advice", 0)
             if told or not self._lost:
                 self._lost = True
-                self.note("registry_lost", level="warning", why=why)
+                self.log_event("registry_lost", level="warning", why=why)
             if not self.push:
-                self.seat.listed("failed")
+                self.engine_host.apply_list("failed")
                 return
             if (
                 asyncio.current_task().cancelling()
             ):  # wait_for may swallow the word to end, and the process stayed
                 return
-            await asyncio.sleep(max(self.waits.again(), advice / 1e6))
+            await asyncio.sleep(max(self.backoff.next_delay(), advice / 1e6))
 
     def fetch(self) -> None:
         spawn(self._fetching())
@@ -164,8 +176,8 @@
             answer = await self.channel.unary("/cartweir.v1.Registry/Fetch", self._hello(), self.timeout)
             self._listing(answer.message)
         except (CallError, DecodeError) as error:
-            self.note("fetch_failed", level="warning", why=str(error))
-            self.seat.listed("failed")
+            self.log_event("fetch_failed", level="warning", why=str(error))
+            self.engine_host.apply_list("failed")
 
     # ---- what it says ----
     def _listing(self, message: bytes) -> None:
@@ -184,7 +196,7 @@
         if not decision.follow:
             if not self._late:
                 self._late = True
-                self.note(
+                self.log_event(
                     "list_late",
                     level="warning",
                     life=version.incarnation,
@@ -194,15 +206,15 @@
             raise CallError(Status.FAILED_PRECONDITION, "an older list than one that was seen")
         self._late = False
         if decision.retained:
-            self.note("list_held", level="warning", named=len(names), kept=len(decision.retained))
+            self.log_event("list_held", level="warning", named=len(names), kept=len(decision.retained))
             self._look_again()
         if self._lost:
             self._lost = False
-            self.note("registry_back", version=listing.version)
+            self.log_event("registry_back", version=listing.version)
         self._apply("whole" if listing.whole else "changes", entries)
         self._keep(listing.version)
         count = sum(entry.state == pb.READY for entry in self._entries.values())
-        self.note("list", version=listing.version, named=len(listing.entries), ready=count)
+        self.log_event("list", version=listing.version, named=len(listing.entries), ready=count)
 
     def _look_again(self) -> None:
         if wait := self.lists.next_expiry(self.now()):
@@ -218,7 +230,7 @@
         for entry in gone:
             entry.state = pb.GONE
         if gone:
-            self.note("list_let_go", appliances=len(gone))
+            self.log_event("list_let_go", appliances=len(gone))
             self._apply("changes", gone)
             self._keep(self.lists.seen.number)
         self._look_again()
@@ -232,9 +244,9 @@
             if mark not in self._started:
                 self._started[mark] = max(1, now - entry.age) if entry.age else 0
             self._entries[entry.appliance] = entry
-            self.links.addresses[entry.appliance] = entry.address
+            self.appliance_pools.addresses[entry.appliance] = entry.address
             rows.append(
-                Row(
+                ListEntry(
                     entry.appliance,
                     entry.build,
                     entry.run,
@@ -253,15 +265,15 @@
             for (name, run), since in self._started.items()
             if name in self._entries and self._entries[name].run == run
         }
-        self.links.listed(self.seat.listed(how, rows))
+        self.appliance_pools.retire_gone(self.engine_host.apply_list(how, rows))
 
 
-class Stamps:
+class PersistentFence:
     """Which decision of the controllers was followed last. Kept before it is followed, so that an agent that starts again
     follows none older; a file that can't be read counts as none, and is said so."""
 
-    def __init__(self, path: str | None, note: Note) -> None:
-        self.path, self.note = Path(path) if path else None, note
+    def __init__(self, path: str | None, log_event: EventLogger) -> None:
+        self.path, self.log_event = Path(path) if path else None, log_event
         self.on_follow: Callable[[FencingToken, int], None] = lambda stamp, build: None
         self.fence = Fence(self._read())
         self._kept = self.fence.seen
@@ -274,51 +286,56 @@
         except FileNotFoundError:
             pass
         except (OSError, ValueError, KeyError, TypeError) as error:
-            self.note("stage_file_bad", level="warning", file=str(self.path), reason=str(error)[:200])
+            self.log_event("stage_file_bad", level="warning", file=str(self.path), reason=str(error)[:200])
         return FencingToken()
 
-    async def take(self, stamp: FencingToken, build: int = 0) -> bool:
+    async def try_follow(self, stamp: FencingToken, build: int = 0) -> bool:
         """Whether it may be followed now. One that was overtaken while it was being kept may not."""
         if not self.fence.accept(stamp):
             return False
         if self.path is not None and stamp > self._kept:
             text = json.dumps({"epoch": stamp.epoch, "index": stamp.index})
             try:
-                await asyncio.get_running_loop().run_in_executor(None, write_whole, self.path, text)
+                await asyncio.get_running_loop().run_in_executor(None, write_atomically, self.path, text)
             except OSError as error:
-                self.note("stage_file_bad", level="warning", file=str(self.path), reason=error.strerror)
+                self.log_event("stage_file_bad", level="warning", file=str(self.path), reason=error.strerror)
             self._kept = max(self._kept, stamp)
         if may := stamp == self.fence.seen:
             self.on_follow(stamp, build)
         return may
 
 
-class ConveyorNews:
+class ConveyorClient:
     """Stages, reports and tallies in; votes out. Any of the channels tells and counts for all: where one falls silent or
     knows no leader, the next is asked."""
 
     def __init__(
         self,
-        seat: Seat,
+        engine_host: EngineHost,
         channels: Sequence[Channel],
         hello: pb.Hello,
         vote_timeout: int,
         silence: int,
-        waits: Waits,
-        note: Note,
+        backoff: Backoff,
+        log_event: EventLogger,
         now: Callable[[], int],
-        stamps: Stamps,
+        stage_fence: PersistentFence,
         chance: random.Random,
     ) -> None:
-        self.seat, self.channels, self.hello, self.waits, self.note, self.now = (
-            seat,
+        self.engine_host, self.channels, self.hello, self.backoff, self.log_event, self.now = (
+            engine_host,
             channels,
             hello,
-            waits,
-            note,
+            backoff,
+            log_event,
             now,
         )
-        self.vote_timeout, self.silence, self.stamps, self.chance = vote_timeout, silence, stamps, chance
+        self.vote_timeout, self.silence, self.stage_fence, self.chance = (
+            vote_timeout,
+            silence,
+            stage_fence,
+            chance,
+        )
         self._at = chance.randrange(len(channels))  # spreads agents over the controllers
         self._counts = self._at  # who answered a ballot last
         self._lost = False
@@ -337,23 +354,25 @@
                 async for message in self._words():
                     if not told:
                         told = True
-                        self.waits.fine()
+                        self.backoff.reset()
                         if self._lost:
                             self._lost = False
-                            self.note("conveyor_back")
+                            self.log_event("conveyor_back")
                     await self._word_came(pb.Word.FromString(message))
                 why = "the news was ended"
             except (CallError, DecodeError) as error:
                 why, advice = str(error), getattr(error, "advice", 0)
             if told or not self._lost:
                 self._lost = True
-                self.note("conveyor_lost", level="warning", why=why)
+                self.log_event("conveyor_lost", level="warning", why=why)
             if (
                 asyncio.current_task().cancelling()
             ):  # wait_for may swallow the word to end, and the process stayed
                 return
             self._at = self._counts = (self._at + 1) % len(self.channels)
-            await asyncio.sleep(max(self.waits.again(), advice / 1e6))  # told by whom the crowd is known to
+            await asyncio.sleep(
+                max(self.backoff.next_delay(), advice / 1e6)
+            )  # told by whom the crowd is known to
 
     async def _words(self) -> AsyncIterator[bytes]:
         """Of the channel whose turn it is. One of several is left where it has been silent for so long that it should
@@ -376,19 +395,19 @@
             case "stage":
                 await self._stage(word.stage, None)
             case "flag":
-                self.seat.flagged(word.flag.operation, word.flag.appliance, word.flag.age)
+                self.engine_host.apply_flag(word.flag.operation, word.flag.appliance, word.flag.age)
             case "tally":
-                operation = self.seat.operations.get(word.tally.operation)
+                operation = self.engine_host.operations.get(word.tally.operation)
                 if operation is not None:
                     tally = word.tally
-                    self.seat.tallied(
+                    self.engine_host.apply_tally(
                         Tally(tally.build, operation, tally.count, tally.failures, tally.mean_time, tally.age)
                     )
 
     async def _stage(self, told: pb.Stage, answer: str | None) -> None:
-        stages, came = len(self.seat.settings["caps"]), self.now()
+        stages, came = len(self.engine_host.settings["caps"]), self.now()
         if told.number >= stages or told.phase >= len(PHASES) or not 0 <= told.cap <= 1:
-            self.note(
+            self.log_event(
                 "stage_unknown",
                 level="error",
                 build=told.build,
@@ -399,20 +418,20 @@
             )
             return
         stamp = FencingToken(told.epoch, told.index)
-        if not await self.stamps.take(stamp, told.build):
-            self.note(
+        if not await self.stage_fence.try_follow(stamp, told.build):
+            self.log_event(
                 "stage_late",
                 level="warning",
                 build=told.build,
                 stage=told.number,
                 epoch=stamp.epoch,
                 index=stamp.index,
-                seen=tuple(self.stamps.fence.seen),
+                seen=tuple(self.stage_fence.fence.seen),
             )
             return
         if stamp != self._followed:
             self._followed = stamp
-            self.note(
+            self.log_event(
                 "followed",
                 build=told.build,
                 stage=told.number,
@@ -421,7 +440,9 @@
                 index=stamp.index,
             )
         age = told.age + self.now() - came
-        self.seat.staged(Stage(told.build, told.number, PHASES[told.phase], told.cap, age, answer))
+        self.engine_host.apply_stage(
+            Stage(told.build, told.number, PHASES[told.phase], told.cap, age, answer)
+        )
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
         spawn(self._voting(build, stage, verdict))
@@ -458,18 +479,31 @@
             tries += 1
             if tries >= len(self.channels) or end - self.now() <= 0:
                 break
-        self.note("vote", build=build, stage=stage, verdict=verdict, answer=how)
+        self.log_event("vote", build=build, stage=stage, verdict=verdict, answer=how)
         if how == "ok":
             await self._stage(told.stage, "ok")
         else:
-            self.seat.staged(Stage(build, stage, ours.ON_TRIAL, 0.0, 0, how))
+            self.engine_host.apply_stage(Stage(build, stage, ours.ON_TRIAL, 0.0, 0, how))
 
 
-class Peers:
+class PeerMessenger:
     """Messages between agents; one that gets no answer is lost."""
 
-    def __init__(self, seat: Seat, me: int, channels: dict[int, Channel], timeout: int, note: Note) -> None:
-        self.seat, self.me, self.channels, self.timeout, self.note = seat, me, channels, timeout, note
+    def __init__(
+        self,
+        engine_host: EngineHost,
+        me: int,
+        channels: dict[int, Channel],
+        timeout: int,
+        log_event: EventLogger,
+    ) -> None:
+        self.engine_host, self.me, self.channels, self.timeout, self.log_event = (
+            engine_host,
+            me,
+            channels,
+            timeout,
+            log_event,
+        )
 
     def message(self, to: int | None, figures: list[int]) -> None:
         text = pb.Figures(sender=self.me, figures=figures).SerializeToString()
@@ -479,9 +513,9 @@
 
     async def _telling(self, number: int, channel: Channel, text: bytes) -> None:
         try:
-            await channel.unary(TELL.decode(), text, self.timeout)
+            await channel.unary(PEER_MESSAGE_PATH.decode(), text, self.timeout)
         except CallError as error:
-            self.note("message_lost", level="debug", to=number, why=str(error))
+            self.log_event("message_lost", level="debug", to=number, why=str(error))
 
     def heard(self, message: bytes) -> None:
         """Raises Malformed."""
@@ -489,4 +523,4 @@
             told = pb.Figures.FromString(message)
         except DecodeError:
             raise Malformed("no cartweir.v1.Figures") from None
-        self.seat.told(told.sender, list(told.figures))
+        self.engine_host.receive_message(told.sender, list(told.figures))
--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -16,24 +16,24 @@
 from tornado.ioloop import IOLoop
 
 from ..fleet.list_filter import ListFilter
-from ..hosting.alarms import Alarms
-from ..hosting.clock import Clock, turns_of
-from ..hosting.ending import Ending
-from ..hosting.seat import Seat
-from ..hosting.waits import Waits
+from ..hosting.alarms import AlarmScheduler
+from ..hosting.backoff import Backoff
+from ..hosting.clock import Clock, arrival_selector
+from ..hosting.engine_host import EngineHost
+from ..hosting.graceful_shutdown import GracefulShutdown
 from ..interface import Appliance, Dispatch, Operation
 from ..proto import agent_pb2 as pb
 from ..settings.schema import AgentDocument
 from ..wire.calls import Channel
 from ..wire.link import Tap
 from ..wire.session import Limits
-from .front import Bounds, ClientCall, Front, Note
-from .keep import Keep
-from .links import Attempt, Links, Reach
-from .news import TELL, ConveyorNews, Peers, RegistryNews, Stamps
+from .appliance_pools import ApplianceOptions, AppliancePools, Attempt
+from .control_plane import PEER_MESSAGE_PATH, ConveyorClient, PeerMessenger, PersistentFence, RegistryClient
+from .front import ClientCall, EventLogger, Front, FrontLimits
+from .key_journal_file import KeyJournalFile
 
 
-def operations_of(document: AgentDocument) -> tuple[Operation, ...]:
+def build_operations(document: AgentDocument) -> tuple[Operation, ...]:
     return tuple(
         Operation(
             name,
@@ -50,19 +50,19 @@
     )
 
 
-def limits_of(document: AgentDocument) -> Limits:
+def session_limits(document: AgentDocument) -> Limits:
     return Limits(document.wire.streams, document.wire.window, document.wire.header_list)
 
 
-def owner_of(document: AgentDocument) -> str:
+def journal_owner(document: AgentDocument) -> str:
     """Whose facts a file holds: this agent's, at this deployment."""
     return f"agent {document.agent.me} of {document.agent.agents}, {', '.join(sorted(document.operations))}"
 
 
-def reach_of(document: AgentDocument, parts: int = 1) -> Reach:
+def appliance_options(document: AgentDocument, parts: int = 1) -> ApplianceOptions:
     """parts: among which the connections to one appliance are divided."""
     agent, wire, reach = document.agent, document.wire, document.appliances
-    return Reach(
+    return ApplianceOptions(
         agent.me,
         reach.connect_timeout,
         reach.probe_timeout,
@@ -72,30 +72,32 @@
         wire.answer,
         wire.hold,
         2 * agent.tick,
-        limits_of(document),
+        session_limits(document),
     )
 
 
-def methods_of(document: AgentDocument, operations: Mapping[str, Operation]) -> dict[bytes, Operation]:
+def operations_by_path(
+    document: AgentDocument, operations: Mapping[str, Operation]
+) -> dict[bytes, Operation]:
     return {path.encode(): operations[name] for name, o in document.operations.items() for path in o.methods}
 
 
-def bounds_of(document: AgentDocument) -> Bounds:
+def front_limits(document: AgentDocument) -> FrontLimits:
     wire = document.wire
-    return Bounds(wire.connections, wire.streams, wire.window, wire.message, wire.header_list)
+    return FrontLimits(wire.connections, wire.streams, wire.window, wire.message, wire.header_list)
 
 
-def make_news(
+def make_control_plane_clients(
     document: AgentDocument,
-    seat: Seat,
-    links: Any,
+    engine_host: EngineHost,
+    appliance_pools: Any,
     now: Callable[[], int],
-    note: Note,
+    log_event: EventLogger,
     chance: random.Random,
     limits: Limits,
     tap: Tap | None,
-    stamps: Stamps | None = None,
-) -> tuple[RegistryNews, ConveyorNews, Peers]:
+    stage_fence: PersistentFence | None = None,
+) -> tuple[RegistryClient, ConveyorClient, PeerMessenger]:
     """links: whoever is to know the appliances' addresses."""
     agent, wire, conveyor = document.agent, document.wire, document.conveyor
     hello = pb.Hello(agent=agent.me, zone=agent.zone)
@@ -103,42 +105,42 @@
     def channel(address: str) -> Channel:
         return Channel(address, document.appliances.connect_timeout, limits, tap)
 
-    def waits() -> Waits:
-        return Waits(wire.reconnect_least, wire.reconnect_most, chance)
+    def backoff() -> Backoff:
+        return Backoff(wire.reconnect_least, wire.reconnect_most, chance)
 
-    registry = RegistryNews(
-        seat,
-        links,
+    registry = RegistryClient(
+        engine_host,
+        appliance_pools,
         channel(document.registry.address),
         hello,
         document.registry.mode == "push",
         document.registry.call_timeout,
-        waits(),
+        backoff(),
         now,
-        note,
+        log_event,
         agent.list_file,
         ListFilter(document.registry.drop_share, document.registry.hold_time),
     )
     return (
         registry,
-        ConveyorNews(
-            seat,
+        ConveyorClient(
+            engine_host,
             [channel(address) for address in conveyor.address],
             hello,
             conveyor.vote_timeout,
             conveyor.silence,
-            waits(),
-            note,
+            backoff(),
+            log_event,
             now,
-            stamps or Stamps(agent.stage_file, note),
+            stage_fence or PersistentFence(agent.stage_file, log_event),
             chance,
         ),
-        Peers(
-            seat,
+        PeerMessenger(
+            engine_host,
             agent.me,
             {number: channel(address) for number, address in document.peers.items() if number != agent.me},
             conveyor.vote_timeout,
-            note,
+            log_event,
         ),
     )
 
@@ -150,64 +152,82 @@
         self.document, self.log = document, log
         agent = document.agent
         self.loop = IOLoop.current()
-        self.clock = Clock(agent.heartbeat, turns_of(asyncio.get_running_loop()))
+        self.clock = Clock(agent.heartbeat, arrival_selector(asyncio.get_running_loop()))
         self.chance = random.Random(seed := secrets.randbits(63) if agent.seed is None else agent.seed)
-        limits = limits_of(document)
-        self.links = Links(reach_of(document), self.clock.now, self.note, tap)
-        self.alarms = Alarms(self.loop, self.clock.now, lambda: self.seat.alarm())
+        limits = session_limits(document)
+        self.appliance_pools = AppliancePools(
+            appliance_options(document), self.clock.now, self.log_event, tap
+        )
+        self.alarms = AlarmScheduler(self.loop, self.clock.now, lambda: self.engine_host.run_timers())
         self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
-        self.registry: RegistryNews | None = None
-        settings = {**document.decision_settings(), "operations": operations_of(document)}
-        self.seat = self.links.seat = Seat(self, settings, seed)
-        stamps = Stamps(agent.stage_file, self.note)
-        self.keep: Keep | None = None
+        self.registry: RegistryClient | None = None
+        settings = {**document.decision_settings(), "operations": build_operations(document)}
+        self.engine_host = self.appliance_pools.engine_host = EngineHost(self, settings, seed)
+        stage_fence = PersistentFence(agent.stage_file, self.log_event)
+        self.key_journal: KeyJournalFile | None = None
         if agent.facts_file is not None:
-            self.keep = Keep(
-                agent.facts_file, owner_of(document), stamps.fence.seen, self.note, agent.facts_most
+            self.key_journal = KeyJournalFile(
+                agent.facts_file,
+                journal_owner(document),
+                stage_fence.fence.seen,
+                self.log_event,
+                agent.facts_most,
             )
-            self.seat.recall(self.keep.recalled)
-            stamps.on_follow = self.keep.decided
-        self.registry, self.conveyor, self.peers = make_news(
-            document, self.seat, self.links, self.clock.now, self.note, self.chance, limits, tap, stamps
+            self.engine_host.restore(self.key_journal.recalled)
+            stage_fence.on_follow = self.key_journal.record_decision
+        self.registry, self.conveyor, self.peers = make_control_plane_clients(
+            document,
+            self.engine_host,
+            self.appliance_pools,
+            self.clock.now,
+            self.log_event,
+            self.chance,
+            limits,
+            tap,
+            stage_fence,
         )
         self.front = Front(
-            self.seat,
-            methods_of(document, self.seat.operations),
-            bounds_of(document),
+            self.engine_host,
+            operations_by_path(document, self.engine_host.operations),
+            front_limits(document),
             self.clock,
-            self.note,
-            {TELL: self.peers.heard} if document.allowed.may_message else {},
+            self.log_event,
+            {PEER_MESSAGE_PATH: self.peers.heard} if document.allowed.may_message else {},
             tap,
         )
         self.ended = asyncio.Event()
-        self.ending = Ending(
+        self.shutdown = GracefulShutdown(
             self.clock.now,
             agent.tick,
             agent.drain_time,
             self.front,
-            lambda: len(self.seat.calls),
-            self.seat.give_up_all,
+            lambda: len(self.engine_host.calls),
+            self.engine_host.give_up_all,
             self._end,
-            self.note,
+            self.log_event,
         )
 
     # ---- the World ----
     def now(self) -> int:
         return self.clock.now()
 
-    def alarm_at(self, due: int) -> None:
-        self.alarms.ask(due)
+    def schedule_alarm(self, due: int) -> None:
+        self.alarms.schedule(due)
 
-    def soon(self, do: Callable[[], None]) -> None:
+    def run_soon(self, do: Callable[[], None]) -> None:
         self.loop.add_callback(do)
 
     def start(self, dispatch: Dispatch, call: ClientCall) -> Attempt:
-        if self.keep is not None and dispatch.invocation.key and self.seat.binds(dispatch.appliance):
-            self.keep.bind(dispatch.invocation.key, dispatch.appliance.build)
-        return self.links.start(dispatch, call)
+        if (
+            self.key_journal is not None
+            and dispatch.invocation.key
+            and self.engine_host.binds_key(dispatch.appliance)
+        ):
+            self.key_journal.record_binding(dispatch.invocation.key, dispatch.appliance.build)
+        return self.appliance_pools.start(dispatch, call)
 
     def probe(self, appliance: Appliance) -> None:
-        self.links.probe(appliance)
+        self.appliance_pools.probe(appliance)
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
         self.conveyor.vote(build, stage, verdict)
@@ -224,8 +244,8 @@
     def message(self, to: int | None, figures: list[int]) -> None:
         self.peers.message(to, figures)
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
-        note_line(self.log, event, level, **facts)
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
+        write_event(self.log, event, level, **facts)
 
     # ---- its life ----
     def start_up(self) -> str:
@@ -236,35 +256,37 @@
             say()
         self.conveyor.start()
         self._beat()
-        self.note("started", listen=address, me=self.document.agent.me, agents=self.document.agent.agents)
+        self.log_event(
+            "started", listen=address, me=self.document.agent.me, agents=self.document.agent.agents
+        )
         return address
 
     def _beat(self) -> None:
-        stalled = self.clock.beat()
+        stalled = self.clock.measure_stall()
         if stalled:
-            self.note("stalled", level="warning", milliseconds=stalled // 1000)
+            self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
         self.loop.call_later(self.clock.heartbeat / 1e6, self._beat)
 
-    def signalled(self) -> None:
-        self.ending.signalled()
+    def on_signal(self) -> None:
+        self.shutdown.on_signal()
 
     def _end(self) -> None:
         self.front.close()
-        self.links.close()
-        self.note("stopped")
+        self.appliance_pools.close()
+        self.log_event("stopped")
         self.ended.set()
 
 
-def note_line(log: Any, event: str, level: str, **facts: Any) -> None:
+def write_event(log: Any, event: str, level: str, **facts: Any) -> None:
     """One line; what comes with each invocation is for debugging."""
     getattr(log, "debug" if event in ("dispatch", "answer", "left") else level)(event, **facts)
 
 
-def tell_fault(note: Note, context: dict[str, Any]) -> None:
+def log_unhandled_exception(log_event: EventLogger, context: dict[str, Any]) -> None:
     """An exception that nobody was there for: logged with its place, and the agent goes on."""
     error = context.get("exception")
     where = traceback.extract_tb(error.__traceback__)[-1] if error and error.__traceback__ else None
-    note(
+    log_event(
         "internal_error",
         level="error",
         what=context.get("message"),
@@ -273,7 +295,7 @@
     )
 
 
-def make_log(form: str, level: str, **bound: Any) -> Any:
+def make_logger(form: str, level: str, **bound: Any) -> Any:
     """A structlog logger on standard error: lines for people, or JSON."""
     render = (
         structlog.processors.JSONRenderer()
@@ -295,11 +317,11 @@
 
 async def run(document: AgentDocument, tap: Tap | None = None) -> None:
     """Until signalled to end. Raises OSError where it cannot listen."""
-    daemon = Daemon(document, make_log(document.log.format, document.log.level), tap)
+    daemon = Daemon(document, make_logger(document.log.format, document.log.level), tap)
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: tell_fault(daemon.note, context))
+    loop.set_exception_handler(lambda _, context: log_unhandled_exception(daemon.log_event, context))
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.signalled)
+        loop.add_signal_handler(number, daemon.on_signal)
     daemon.start_up()
     gc.freeze()
     await daemon.ended.wait()
--- a/cartweir/agent/front.py
+++ b/cartweir/agent/front.py
@@ -11,20 +11,20 @@
 from tornado.netutil import bind_sockets
 
 from ..hosting.clock import Clock
-from ..hosting.seat import Seat
-from ..hosting.tcp import LinkStream, split_address
+from ..hosting.engine_host import EngineHost
+from ..hosting.tcp import ReadOnReadyStream, split_address
 from ..interface import Invocation, Operation
 from ..wire import grpc
 from ..wire.grpc import BodyWalk, Headers, Malformed, Status
 from ..wire.link import Link, Tap
 from ..wire.session import Limits, Stream
-from . import names
-from .queued import queued
+from . import grpc_mapping
+from .receive_queue import queued
 
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
-class Bounds:
+class FrontLimits:
     """Of the front: sizes in bytes, times in microseconds."""
 
     def __init__(self, connections: int, streams: int, window: int, message: int, header_list: int) -> None:
@@ -38,15 +38,21 @@
 
     def __init__(
         self,
-        seat: Seat,
+        engine_host: EngineHost,
         methods: Mapping[bytes, Operation],
-        bounds: Bounds,
+        bounds: FrontLimits,
         clock: Clock,
-        note: Note,
+        log_event: EventLogger,
         aside: Mapping[bytes, Callable[[bytes], None]],
         tap: Tap | None = None,
     ) -> None:
-        self.seat, self.methods, self.bounds, self.clock, self.note = seat, methods, bounds, clock, note
+        self.engine_host, self.methods, self.bounds, self.clock, self.log_event = (
+            engine_host,
+            methods,
+            bounds,
+            clock,
+            log_event,
+        )
         self.aside, self.tap = aside, tap
         self.links: set[Link] = set()
         self.draining = False
@@ -118,7 +124,7 @@
         being woken for them without end."""
         if not self._short:
             self._short = True
-            self.note(
+            self.log_event(
                 "accept_short",
                 level="error",
                 reason=error.strerror,
@@ -137,19 +143,23 @@
         if len(self.links) >= self.bounds.connections:
             if not self._over:
                 self._over = True
-                self.note("connections_full", level="warning", connections=len(self.links))
+                self.log_event("connections_full", level="warning", connections=len(self.links))
             connection.close()
             return
         if self._after is not None and len(self.links) + 1 >= self.bounds.connections:
-            self.note("connections_full", level="warning", connections=len(self.links) + 1)
+            self.log_event("connections_full", level="warning", connections=len(self.links) + 1)
             self._full = True  # others may have room
             self._look_away()
         if self._short:
             self._short = False
-            self.note("accept_again", connections=len(self.links))
+            self.log_event("accept_again", connections=len(self.links))
         owner = ClientLink(self, *queued(connection))
         owner.link = Link(
-            LinkStream(connection, max_buffer_size=256 * 1024), False, self.bounds.limits, owner, self.tap
+            ReadOnReadyStream(connection, max_buffer_size=256 * 1024),
+            False,
+            self.bounds.limits,
+            owner,
+            self.tap,
         )
         self.links.add(owner.link)
 
@@ -159,7 +169,7 @@
             self._full = False
             self._look_out()
         self._over = self._over and len(self.links) >= self.bounds.connections
-        self.note("client_lost", level="debug", client=link.theirs, why=why)
+        self.log_event("client_lost", level="debug", client=link.theirs, why=why)
 
     # ---- answers under way ----
     def owe(self, call: ClientCall) -> None:
@@ -223,7 +233,7 @@
     __slots__ = (
         "front",
         "stream",
-        "asked",
+        "request",
         "arrived",
         "body",
         "walk",
@@ -235,27 +245,27 @@
 
     def __init__(self, front: Front, stream: Stream, headers: Headers) -> None:
         self.front, self.stream = front, stream
-        self.arrived = front.clock.arrived()
+        self.arrived = front.clock.arrival_time()
         self.body: list[bytes] = []
         self.walk = BodyWalk(front.bounds.message)
         self.invocation: Invocation | None = None
         self.source: Stream | None = None  # the appliance's stream that is passed on
         self._granted = 0  # bytes under way to the client that it was granted room for already
         self._answered = False
-        self.asked: names.Asked | None = None
+        self.request: grpc_mapping.RequestHeaders | None = None
         try:
-            self.asked = names.read_request(headers)
+            self.request = grpc_mapping.read_request(headers)
         except Malformed as error:
             self.refuse(Status.INVALID_ARGUMENT, str(error))
             return
-        if not self.asked.content_type.startswith(grpc.CONTENT_TYPE):
+        if not self.request.content_type.startswith(grpc.CONTENT_TYPE):
             # the protocol's own answer to what is no gRPC at all
             self._answered = True
             stream.send_headers([(b":status", b"415")], end=True)
             stream.reset(ErrorCodes.NO_ERROR)
-        elif self.asked.path not in front.methods and self.asked.path not in front.aside:
+        elif self.request.path not in front.methods and self.request.path not in front.aside:
             self.refuse(
-                Status.UNIMPLEMENTED, f"no operation has the method {self.asked.path.decode('latin-1')}"
+                Status.UNIMPLEMENTED, f"no operation has the method {self.request.path.decode('latin-1')}"
             )
 
     # ---- the request ----
@@ -285,7 +295,7 @@
                 f"{'' if self.walk.whole else ' and a part'}, where one is due",
             )
             return
-        asked, front = self.asked, self.front
+        asked, front = self.request, self.front
         if (handle := front.aside.get(asked.path)) is not None:
             try:
                 handle(b"".join(self.body)[5:])
@@ -302,7 +312,7 @@
             return
         operation = front.methods[asked.path]
         limit = operation.time_limit if asked.timeout is None else asked.timeout
-        self.invocation = front.seat.take(
+        self.invocation = front.engine_host.accept(
             self,
             operation,
             self.arrived,
@@ -318,7 +328,7 @@
         """The client has left."""
         if self.invocation is not None and not self._answered:
             self._answered = True
-            self.front.seat.left(self.invocation)
+            self.front.engine_host.client_left(self.invocation)
 
     def on_sent(self, stream: Stream, size: int) -> None:
         if self.source is not None:
@@ -331,7 +341,7 @@
         """Not taken at all."""
         self._answered = True
         self.body = []
-        self.stream.send_headers(names.refused(status, text), end=True)
+        self.stream.send_headers(grpc_mapping.refused(status, text), end=True)
         if not self.stream.heard_all:
             self.stream.reset(ErrorCodes.NO_ERROR)  # the rest of the request is not wanted
 
@@ -361,14 +371,14 @@
 
     def throttle(self, retry_after: int) -> None:
         self._answered, self.body = True, []
-        self.stream.send_headers(names.throttled(retry_after), end=True)
+        self.stream.send_headers(grpc_mapping.throttled(retry_after), end=True)
 
     def terminate(self) -> None:
         self._answered, self.body = True, []
         if self.source is None:
-            self.stream.send_headers(names.terminated(), end=True)
+            self.stream.send_headers(grpc_mapping.terminated(), end=True)
         else:
-            self.stream.send_trailers(names.terminated(begun=True))
+            self.stream.send_trailers(grpc_mapping.terminated(begun=True))
             self._expect()
 
     def _expect(self) -> None:
@@ -381,7 +391,7 @@
         if self.stream.said_all or self.stream.gone:
             return False
         if now >= self.invocation.deadline:
-            self.front.note("answer_unread", invocation=self.invocation.id, queued=self.stream.queued)
+            self.front.log_event("answer_unread", invocation=self.invocation.id, queued=self.stream.queued)
             self.stream.reset()
             return False
         return True
--- a/cartweir/agent/names.py
+++ b/cartweir/agent/grpc_mapping.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestHeaders:
     """What the headers of a call say; times in microseconds."""
 
     path: bytes
@@ -63,7 +63,7 @@
     write: bool = False
 
 
-def read_request(headers: Headers) -> Asked:
+def read_request(headers: Headers) -> RequestHeaders:
     """Raises Malformed on what is no gRPC call, with the reason."""
     found: dict[bytes, bytes] = {}
     metadata = []
@@ -77,7 +77,7 @@
     if found.get(b":method") != b"POST":
         raise Malformed("method is not POST")
     timeout = found.get(b"grpc-timeout")
-    asked = Asked(
+    asked = RequestHeaders(
         found.get(b":path", b""), None if timeout is None else grpc.decode_timeout(timeout), kind, metadata
     )
     asked.customer = found.get(CUSTOMER, b"").decode("latin-1")
--- a/cartweir/agent/keep.py
+++ b/cartweir/agent/key_journal_file.py
@@ -26,21 +26,23 @@
     read_journal,
 )
 
-Note = Callable[..., None]
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+EventLogger = Callable[..., None]
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
-class InUse(OSError):
+class JournalInUseError(OSError):
     """Another process keeps its facts in this file, or none can."""
 
 
-def lock(path: str, patience: float = 0.0) -> IO[str]:
+def lock_journal(path: str, patience: float = 0.0) -> IO[str]:
     """The right to the file, for as long as it is open here or in a process that was forked from this one. patience: seconds for those of
     an agent before to end, who were killed with it. Raises InUse."""
     try:
         held = open(Path(path).with_name(Path(path).name + ".lock"), "w")
     except OSError as error:
-        raise InUse(f"{path}: {error.strerror}: a file in a folder that can be written is due") from None
+        raise JournalInUseError(
+            f"{path}: {error.strerror}: a file in a folder that can be written is due"
+        ) from None
     end = time.monotonic() + patience
     while True:
         try:
@@ -49,26 +51,32 @@
         except OSError:
             if time.monotonic() >= end:
                 held.close()
-                raise InUse(
+                raise JournalInUseError(
                     f"{path} is in use by another process: a file of its own is due for each agent"
                 ) from None
             time.sleep(0.01)
 
 
-class Keep:
+class KeyJournalFile:
     """most: bytes of the file, beyond which the older half of the keys is left out. held: the lock, where another has taken it.
     Raises InUse."""
 
     def __init__(
-        self, path: str, owner: str, token: FencingToken, note: Note, most: int, held: IO[str] | None = None
+        self,
+        path: str,
+        owner: str,
+        token: FencingToken,
+        log_event: EventLogger,
+        most: int,
+        held: IO[str] | None = None,
     ) -> None:
-        self.path, self.note, self.most = Path(path), note, most
-        self._lock = held or lock(path)
-        boot = BOOT.read_text().strip() if BOOT.exists() else ""
+        self.path, self.log_event, self.most = Path(path), log_event, most
+        self._lock = held or lock_journal(path)
+        boot = BOOT_ID_FILE.read_text().strip() if BOOT_ID_FILE.exists() else ""
         data = self.path.read_bytes() if self.path.exists() else None
         self.recalled = read_journal(data, owner, boot, token)
         if data is not None or self.recalled.spent:
-            self.note(
+            self.log_event(
                 "facts",
                 keys=len(self.recalled.bound),
                 forgot=self.recalled.forgot,
@@ -79,7 +87,7 @@
         self._file, self._count, self._size, self._failing = -1, 0, 0, False
         self._anew()
 
-    def decided(self, token: FencingToken, build: int) -> None:
+    def record_decision(self, token: FencingToken, build: int) -> None:
         """Another decision is followed: keys of builds before it are bound to nothing any more. Added, not written anew: to put a
         file in another's place waits for the disk where others sync theirs, up to 150 ms, on the loop."""
         if token != self._head.token or self._head.missing == ANY_BUILD:
@@ -90,7 +98,7 @@
             else:
                 self._add(encode_decision(token, build))
 
-    def bind(self, key: str, build: int) -> None:
+    def record_binding(self, key: str, build: int) -> None:
         """Before a dispatch leaves that a newer build may answer. Where it cannot be kept that is said once, and goes on: a
         full disk must not end the service, and what is on it tells the next life that keys are missing."""
         if self._bound.get(key, -1) >= build:
@@ -129,13 +137,13 @@
         if self._file >= 0:
             os.close(self._file)
         if self._failing:
-            self.note("facts_kept_again")
+            self.log_event("facts_kept_again")
         self._file, self._size, self._count, self._failing = file, len(data), 1 + len(self._bound), False
 
     def _failed(self, error: OSError) -> None:
         """What stands in the file's place is no longer all: its count is spoilt, in place, so that it needs no room."""
         if not self._failing:
-            self.note("facts_bad", level="warning", file=str(self.path), reason=error.strerror)
+            self.log_event("facts_bad", level="warning", file=str(self.path), reason=error.strerror)
         self._failing = True
         with contextlib.suppress(OSError):
             file = os.open(self.path, os.O_WRONLY)
--- a/cartweir/audit/agent_process.py
+++ b/cartweir/audit/agent_process.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from ..agent.names import AGENT_HEADER, DISPATCH_HEADER, KEY
+from ..agent.grpc_mapping import AGENT_HEADER, DISPATCH_HEADER, KEY
 from ..fleet.fencing import Fence
 from ..proto import agent_pb2 as pb
 from ..settings.schema import AgentDocument
--- a/cartweir/audit/rules.py
+++ b/cartweir/audit/rules.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ..agent.names import ANSWER, WORK
+from ..agent.grpc_mapping import ANSWER, WORK
 from ..proto import agent_pb2 as pb
 from ..wire.grpc import decode_timeout
 from .agent_process import AGENT, ATTEMPT, DISPATCH, AgentProcess, TakenCall
--- a/cartweir/cli/__init__.py
+++ b/cartweir/cli/__init__.py
@@ -43,8 +43,8 @@
 ) -> None:
     """Run one agent until SIGTERM, which lets it finish what it holds."""
     from ..agent.daemon import run
-    from ..agent.keep import InUse
-    from ..hosting.clock import loop
+    from ..agent.key_journal_file import JournalInUseError
+    from ..hosting.clock import new_event_loop
 
     try:
         document = read_agent(file)
@@ -56,9 +56,9 @@
 
             open_tap(tap)
             raise typer.Exit(Supervisor(document, tap).run())
-        with asyncio.Runner(loop_factory=loop) as runner:
+        with asyncio.Runner(loop_factory=new_event_loop) as runner:
             runner.run(run(document, open_tap(tap)))
-    except InUse as error:
+    except JournalInUseError as error:
         fail(f"{file}: [agent] facts_file: {error}", 1)
     except OSError as error:
         fail(
--- a/cartweir/cli/standin.py
+++ b/cartweir/cli/standin.py
@@ -73,7 +73,7 @@
         passed = open_tap(tap)
         list_ = Registry(late=300_000, tap=passed)
         list_.listen_on(registry)
-        fleet = Fleet(list_, Make(), random.Random(seed), passed, note=_say)
+        fleet = Fleet(list_, Make(), random.Random(seed), passed, log_event=_say)
         builds = Conveyor(fleet, release, agents, _say, tap=passed)
         builds.listen_on(conveyor)
         Steering(list_, fleet, builds).listen_on(steer)
@@ -118,7 +118,7 @@
     from ..standin.steer import RemoteRegistry, Steering
 
     def start() -> None:
-        fleet = Fleet(RemoteRegistry(registry), Make(), random.Random(seed), open_tap(tap), note=_say)
+        fleet = Fleet(RemoteRegistry(registry), Make(), random.Random(seed), open_tap(tap), log_event=_say)
         Steering(None, fleet, None).listen_on(steer)
         for _ in range(count):
             fleet.launch(build, warm=True)
--- a/cartweir/controller/daemon.py
+++ b/cartweir/controller/daemon.py
@@ -12,7 +12,7 @@
 import msgpack
 from google.protobuf.message import DecodeError
 
-from ..agent.daemon import make_log
+from ..agent.daemon import make_logger
 from ..fleet.admission import AdmissionControl
 from ..fleet.duties import LATE, RELEASE, STEPS_PREFIX, steps_duty
 from ..fleet.duty_manager import Effect, MachinesWanted, StepToRun
@@ -40,7 +40,7 @@
         super().__init__()
         self.document, self.log = document, log
         self.store = store
-        self.host = Host(document, store, store.kept, self.note, random.Random())
+        self.host = Host(document, store, store.kept, self.log_event, random.Random())
         self.host.on_decided, self.host.on_fault = self._decided, self._fault
         self.ended: asyncio.Future = asyncio.get_running_loop().create_future()
         self.admission = AdmissionControl.for_rate(document.controller.admit, document.controller.come_back)
@@ -61,7 +61,7 @@
             }
         )
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
         getattr(self.log, level)(event, **facts)
 
     def start(self) -> str:
@@ -70,7 +70,7 @@
         spawn(self.host.run())
         spawn(self._work())
         member = self.host.member
-        self.note(
+        self.log_event(
             "started",
             listen=address,
             name=self.host.name,
@@ -142,7 +142,7 @@
         if duty.token != self._told and duty.epoch:
             if self._told is None or duty.index != self._told.index:
                 rollout = self.host.fleet.rollout
-                self.note(
+                self.log_event(
                     "stage",
                     build=rollout.build,
                     stage=rollout.stage,
@@ -231,7 +231,7 @@
                     else (await self._grant(command))
                 )
                 if answered and command["do"] == "grant" and answer != LATE:
-                    self.note(
+                    self.log_event(
                         "granted", duty=command["duty"], to=command["to"], epoch=answer, why=command["why"]
                     )
             finally:
@@ -269,7 +269,7 @@
                 )
             except CallError as error:
                 self.host.duty_manager.on_effect_result(effect, False, monotonic())
-                self.note("unreached", level="warning", duty=effect.duty, why=str(error))
+                self.log_event("unreached", level="warning", duty=effect.duty, why=str(error))
             except DecodeError:
                 self.host.duty_manager.on_effect_result(effect, False, monotonic())
             finally:  # whatever became of it, it is tried again
@@ -303,7 +303,7 @@
         )
         self.host.duty_manager.on_effect_result(effect, True, monotonic())
         if not said.taken:
-            self.note(
+            self.log_event(
                 "refused_as_late",
                 level="warning",
                 duty=effect.duty,
@@ -331,7 +331,7 @@
             await self._call(address, "/cartweir.v1.Steps/Run", step.SerializeToString())
         )
         self.host.duty_manager.on_effect_result(effect, True, monotonic())
-        self.note(
+        self.log_event(
             "step", duty=effect.duty, step=body.name, how=pb.Ran.How.Name(said.how), epoch=effect.token.epoch
         )
         if said.how == pb.Ran.DONE:
@@ -409,7 +409,7 @@
         try:
             do()
         except ChangeRefusedError as error:
-            self.note("refused", level="warning", why=str(error))
+            self.log_event("refused", level="warning", why=str(error))
             return str(error)
         return ""
 
@@ -419,7 +419,7 @@
         for name, (mark, address) in list(self._joining.items()):
             row = member.members.get(name)
             if row and row.directory_id == mark and row.votes:
-                self.note("admitted", member=name)
+                self.log_event("admitted", member=name)
                 del self._joining[name]
                 continue
             votes = bool(row) and row.directory_id == mark
@@ -486,12 +486,12 @@
 
 async def run(document: ControllerDocument, store: Store) -> str | None:
     """Until signalled, which gives None, or until the disk fails, which gives why. Raises OSError."""
-    controller = Controller(document, store, make_log(document.log.format, document.log.level))
+    controller = Controller(document, store, make_logger(document.log.format, document.log.level))
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lambda: controller.ended.done() or controller.ended.set_result(None))
     controller.start()
     why = await controller.ended
-    controller.note("stopped", **({"why": why} if why else {}))
+    controller.log_event("stopped", **({"why": why} if why else {}))
     controller.shut()
     return why
--- a/cartweir/controller/host.py
+++ b/cartweir/controller/host.py
@@ -23,7 +23,7 @@
 from .settings import ControllerDocument
 from .store import Store, StoreError
 
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 LONGEST = 50_000  # microseconds between two looks at the clock
 
 
@@ -35,10 +35,10 @@
         document: ControllerDocument,
         store: Store,
         kept: PersistentState,
-        note: Note,
+        log_event: EventLogger,
         chance: random.Random,
     ) -> None:
-        self.document, self.store, self.note = document, store, note
+        self.document, self.store, self.log_event = document, store, log_event
         section = document.controller
         self.name, self.mark = section.name, store.identity["mark"]
         self.fleet = fleet_of(document)
@@ -194,7 +194,7 @@
         )
         now = (member.role, member.leader, member.term)
         if now != self._said and (now[0] == Role.LEADER or now[1] != self._said[1]):
-            self.note(
+            self.log_event(
                 "leader" if now[1] else "no_leader", leader=now[1], term=now[2], index=member.commit_index
             )
         self._said = now
--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -13,13 +13,19 @@
 from tornado.ioloop import IOLoop
 
 from .. import interface as ours
-from ..agent.daemon import limits_of, make_news, note_line, operations_of, owner_of
-from ..agent.keep import Keep
-from ..agent.news import Stamps
-from ..hosting.alarms import Alarms
-from ..hosting.clock import Clock, turns_of
-from ..hosting.roster import Row
-from ..hosting.seat import Seat
+from ..agent.control_plane import PersistentFence
+from ..agent.daemon import (
+    build_operations,
+    journal_owner,
+    make_control_plane_clients,
+    session_limits,
+    write_event,
+)
+from ..agent.key_journal_file import KeyJournalFile
+from ..hosting.alarms import AlarmScheduler
+from ..hosting.appliance_list import ListEntry
+from ..hosting.clock import Clock, arrival_selector
+from ..hosting.engine_host import EngineHost
 from ..interface import Appliance, Dispatch, Invocation, Stage
 from ..settings.schema import AgentDocument
 from ..wire.grpc import Malformed
@@ -88,30 +94,30 @@
         self.call.member.pipe.send([say.CANCEL, self.dispatch.invocation.id, self.dispatch.number, late])
 
 
-class MainSeat(Seat):
-    """A Seat that lets the carrying parts know of stages and lists, and the book of what must not be forgotten."""
+class DeciderEngineHost(EngineHost):
+    """A EngineHost that lets the carrying parts know of stages and lists, and the book of what must not be forgotten."""
 
     def __init__(self, decider: Decider, settings: Mapping[str, Any], seed: int) -> None:
         self.decider = decider
         super().__init__(decider, settings, seed)
 
-    def listed(self, how: str, rows: Iterable[Row] = (), waited: int | None = 0) -> list[Appliance]:
+    def apply_list(self, how: str, rows: Iterable[ListEntry] = (), waited: int | None = 0) -> list[Appliance]:
         rows = list(rows)
         for row in rows:
             self.decider.rows[row.id] = row
-        changed = super().listed(how, rows, waited)
+        changed = super().apply_list(how, rows, waited)
         for row in rows:
-            self.decider.marks[self.roster.appliances[row.id]] = mark_of(row)
+            self.decider.marks[self.appliance_list.appliances[row.id]] = mark_of(row)
         self.decider.tell_rows(how, rows, changed)
         return changed
 
-    def staged(self, stage: Stage) -> None:
-        super().staged(stage)
+    def apply_stage(self, stage: Stage) -> None:
+        super().apply_stage(stage)
         self.decider.tell_stage(stage)
 
-    def ended(self, dispatch: Dispatch, how: str, *facts: Any, **more: Any) -> None:
+    def dispatch_ended(self, dispatch: Dispatch, how: str, *facts: Any, **more: Any) -> None:
         attempt = self.attempts.get(dispatch)
-        super().ended(dispatch, how, *facts, **more)
+        super().dispatch_ended(dispatch, how, *facts, **more)
         if attempt is not None:
             attempt.share.out -= 1
             attempt.call.member.tidy(dispatch.invocation.id)
@@ -133,63 +139,72 @@
         self.document, self.log = document, log
         agent = document.agent
         self.loop = IOLoop.current()
-        self.clock = Clock(agent.heartbeat, turns_of(asyncio.get_running_loop()))
+        self.clock = Clock(agent.heartbeat, arrival_selector(asyncio.get_running_loop()))
         seed = secrets.randbits(63) if agent.seed is None else agent.seed * 1000 + life
         self.chance = random.Random(seed)
-        self.alarms = Alarms(self.loop, self.clock.now, lambda: self.seat.alarm())
+        self.alarms = AlarmScheduler(self.loop, self.clock.now, lambda: self.engine_host.run_timers())
         self.book = Book(files)
         self.members: dict[int, Member] = {}
         self.division = Division(document.agent.cores, document.appliances.connections)
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, ListEntry] = {}
         self.marks: dict[Appliance, str] = {}
         self.addresses: dict[str, str] = {}
         self._to_say: list[Callable[[], None]] = []
         self._short = False  # the book has no room for all evidence
         self.registry = None
-        operations = operations_of(document)
+        operations = build_operations(document)
         self._index = {operation: at for at, operation in enumerate(operations)}
         settings = {**document.decision_settings(), "operations": operations}
-        self.seat = MainSeat(self, settings, seed)
+        self.engine_host = DeciderEngineHost(self, settings, seed)
         self.operations = operations
-        stamps = Stamps(agent.stage_file, self.note)
-        self.keep: Keep | None = None
+        stage_fence = PersistentFence(agent.stage_file, self.log_event)
+        self.key_journal: KeyJournalFile | None = None
         if agent.facts_file is not None:
-            self.keep = Keep(
-                agent.facts_file, owner_of(document), stamps.fence.seen, self.note, agent.facts_most, facts
+            self.key_journal = KeyJournalFile(
+                agent.facts_file,
+                journal_owner(document),
+                stage_fence.fence.seen,
+                self.log_event,
+                agent.facts_most,
+                facts,
             )
-            stamps.on_follow = self.keep.decided
+            stage_fence.on_follow = self.key_journal.record_decision
             if (
                 self.book.state.get("stage") is None
             ):  # the agent's first: what came before it is known by the file alone
-                self.seat.recall(self.keep.recalled)
+                self.engine_host.restore(self.key_journal.recalled)
         self._restore()
-        self.registry, self.conveyor, self.peers = make_news(
+        self.registry, self.conveyor, self.peers = make_control_plane_clients(
             document,
-            self.seat,
+            self.engine_host,
             self,
             self.clock.now,
-            self.note,
+            self.log_event,
             self.chance,
-            limits_of(document),
+            session_limits(document),
             tap,
-            stamps,
+            stage_fence,
         )
 
     def _restore(self) -> None:
         """What the one before wrote down."""
-        book, agent, now = self.book, self.seat.engine.agent, self.clock.now()
-        sends = trusted(book.exposures(), now, self.seat.settings["window"] + 2 * self.seat.settings["tick"])
+        book, agent, now = self.book, self.engine_host.engine.agent, self.clock.now()
+        sends = trusted(
+            book.exposures(), now, self.engine_host.settings["window"] + 2 * self.engine_host.settings["tick"]
+        )
         for when, operation in sends:
             agent.exposure_budgets[self.operations[operation]].sends.append([when, 0])
         if (told := book.state.get("stage")) is not None:
             build, number, phase, cap, since = told
             agent.bound_keys_incomplete = book.state.get("forgot", False)
-            self.seat.staged(Stage(build, number, phase, cap, max(0, now - since)))
+            self.engine_host.apply_stage(Stage(build, number, phase, cap, max(0, now - since)))
             agent.bound_keys = book.keys()
             put_back(agent, self.operations, book.state.get("mind", {}))
             if (vote := book.state.get("vote")) is not None and tuple(vote[:2]) == (build, number):
                 agent.current_vote = tuple(vote)
-            self.note("restored", exposures=len(sends), keys=len(agent.bound_keys), build=build, stage=number)
+            self.log_event(
+                "restored", exposures=len(sends), keys=len(agent.bound_keys), build=build, stage=number
+            )
 
     # ---- its life ----
     def start_up(self) -> None:
@@ -198,12 +213,12 @@
             act()
         self.conveyor.start()
         self._beat()
-        self.note("deciding")
+        self.log_event("deciding")
 
     def _beat(self) -> None:
-        stalled = self.clock.beat()
+        stalled = self.clock.measure_stall()
         if stalled:
-            self.note("stalled", level="warning", milliseconds=stalled // 1000)
+            self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
         for member in self.members.values():
             member.pipe.send([say.PULSE])
         self._keep()
@@ -211,7 +226,7 @@
 
     def _keep(self) -> None:
         """Evidence since the last beat is lost with this process; votes are written down as they are cast."""
-        mind = kept(self.seat.engine.agent, self.operations)
+        mind = kept(self.engine_host.engine.agent, self.operations)
         if mind != self.book.state.get("mind"):
             try:
                 self.book.put(mind=mind)
@@ -219,7 +234,7 @@
                 self.book.put(mind={**mind, "judges": [], "times": []})
                 if not self._short:
                     self._short = True
-                    self.note("book_short", level="warning", why=str(error))
+                    self.log_event("book_short", level="warning", why=str(error))
 
     def meet(self, number: int, sock: Any) -> None:
         """A carrying part, old or new."""
@@ -236,18 +251,18 @@
         del self.members[member.number]
         self.division.lost(member.number)
         member.pipe.close()
-        self.note(
+        self.log_event(
             "part_lost",
             level="info" if member.leaving else "warning",
             lost=member.number,
             held=len(member.invocations),
         )
         for invocation in list(member.invocations.values()):
-            self.seat.left(invocation)
+            self.engine_host.client_left(invocation)
             for dispatch in invocation.dispatches:
                 if dispatch.result is None:
                     self._bound(member, invocation.key, dispatch.appliance.build)
-                    self.seat.ended(dispatch, ours.CANCELLED)
+                    self.engine_host.dispatch_ended(dispatch, ours.CANCELLED)
 
     # ---- what parts say ----
     def _heard(self, member: Member, message: list) -> None:
@@ -258,13 +273,13 @@
         whole = [self._row(row) for row in self.rows.values() if row.state != ours.GONE]
         if whole:
             member.pipe.send([say.ROWS, "whole", whole])
-        if (stage := self.seat.engine.agent.stage) is not None:
+        if (stage := self.engine_host.engine.agent.stage) is not None:
             member.pipe.send(self._stage_message(stage))
         member.pipe.send([say.PULSE])
 
     def _take(self, member: Member, invocation_id: int, operation: int, *facts: Any) -> None:
         act = partial(self._taken, member, invocation_id, self.operations[operation], *facts)
-        if self.seat.settings["one_way"] and facts[3]:
+        if self.engine_host.settings["one_way"] and facts[3]:
             # behind whatever other parts had said of the key before its client could know: that is read a turn later
             self.loop.add_callback(self.loop.add_callback, act)
         else:
@@ -285,7 +300,7 @@
     ) -> None:
         if self.members.get(member.number) is not member or invocation_id in member.invocations:
             return
-        member.invocations[invocation_id] = self.seat.take(
+        member.invocations[invocation_id] = self.engine_host.accept(
             FarCall(member, invocation_id),
             operation,
             arrived,
@@ -302,7 +317,7 @@
     def _left(self, member: Member, invocation_id: int) -> None:
         invocation = member.invocations.get(invocation_id)
         if invocation is not None:
-            self.seat.left(invocation)
+            self.engine_host.client_left(invocation)
             member.tidy(invocation_id)
 
     def _ended(
@@ -320,12 +335,14 @@
         if invocation is None or number >= len(invocation.dispatches):
             return
         dispatch = invocation.dispatches[number]
-        call, name = self.seat.calls.get(invocation), OUTCOMES[how]
+        call, name = self.engine_host.calls.get(invocation), OUTCOMES[how]
         if call is not None:
             call.answer, call.given = number, given
-        self.seat.lag = lag
-        self.seat.ended(dispatch, name, load, ((), [], ()) if name == ours.SUCCEEDED else None, passed)
-        self.seat.lag = 0
+        self.engine_host.lag = lag
+        self.engine_host.dispatch_ended(
+            dispatch, name, load, ((), [], ()) if name == ours.SUCCEEDED else None, passed
+        )
+        self.engine_host.lag = 0
         member.tidy(invocation_id)
 
     def _begun(self, member: Member, invocation_id: int) -> None:
@@ -338,23 +355,26 @@
         invocation, goes = member.invocations.get(invocation_id), False
         if invocation is not None and number < len(invocation.dispatches):
             dispatch = invocation.dispatches[number]
-            goes = self.seat.leaves(dispatch) and self._booked(dispatch)
-        member.pipe.send([say.MAY_GO, invocation_id, number, goes, self.seat.engine.now])
+            goes = self.engine_host.may_send(dispatch) and self._booked(dispatch)
+        member.pipe.send([say.MAY_GO, invocation_id, number, goes, self.engine_host.engine.now])
 
     def _probed(self, member: Member, mark: str | None, answered: bool, took: int, load: dict | None) -> None:
-        appliance = next((a for a in self.seat.roster.appliances.values() if self.marks.get(a) == mark), None)
+        appliance = next(
+            (a for a in self.engine_host.appliance_list.appliances.values() if self.marks.get(a) == mark),
+            None,
+        )
         if appliance is not None:
-            self.seat.probed(appliance, answered, took, load)
+            self.engine_host.probe_ended(appliance, answered, took, load)
 
     def _told(self, member: Member, message: bytes) -> None:
         try:
             self.peers.heard(message)
         except Malformed as error:
-            self.note("message_bad", level="debug", why=str(error))
+            self.log_event("message_bad", level="debug", why=str(error))
 
     def _bound(self, member: Member, key: str | None, build: int) -> None:
-        agent = self.seat.engine.agent
-        if binds(self.seat.settings, agent.stage, key, build):
+        agent = self.engine_host.engine.agent
+        if binds(self.engine_host.settings, agent.stage, key, build):
             agent.bound_keys[key] = max(build, agent.bound_keys.get(key, 0))
             self._write_down(key, build)
 
@@ -377,7 +397,7 @@
     }
 
     # ---- what parts are told ----
-    def _row(self, row: Row) -> list:
+    def _row(self, row: ListEntry) -> list:
         return [
             row.id,
             row.build,
@@ -391,11 +411,11 @@
             self.addresses.get(row.id, ""),
         ]
 
-    def tell_rows(self, how: str, rows: list[Row], changed: list[Appliance]) -> None:
+    def tell_rows(self, how: str, rows: list[ListEntry], changed: list[Appliance]) -> None:
         for appliance in changed:
             if appliance.state == ours.GONE:
                 self.marks.pop(appliance, None)
-                if self.seat.roster.appliances.get(appliance.id) is appliance:
+                if self.engine_host.appliance_list.appliances.get(appliance.id) is appliance:
                     self.rows.pop(appliance.id, None)
         if how in (ours.DELTA, ours.SNAPSHOT, ours.CACHED):
             text = [
@@ -412,11 +432,11 @@
             stage.build,
             stage.number,
             stage.phase,
-            max(0, self.clock.now() - self.seat.engine.agent.stage_since),
+            max(0, self.clock.now() - self.engine_host.engine.agent.stage_since),
         ]
 
     def tell_stage(self, told: Stage) -> None:
-        agent = self.seat.engine.agent
+        agent = self.engine_host.engine.agent
         stage = agent.stage
         if stage is not told:  # a vote's refusal brings no news
             return
@@ -433,11 +453,14 @@
         """A dispatch that counts, or may bind its key, is written down before anybody is told of it. False: the book has
         no room."""
         key, build = dispatch.invocation.key, dispatch.appliance.build
-        if binds(self.seat.settings, self.seat.engine.agent.stage, key, build):
+        if binds(self.engine_host.settings, self.engine_host.engine.agent.stage, key, build):
             self._write_down(key, build)
         if dispatch.decision_state is not None:
             when = dispatch.decision_state[0]
-            if self.book.full_since() > when - self.seat.settings["window"] - 2 * self.seat.settings["tick"]:
+            if (
+                self.book.full_since()
+                > when - self.engine_host.settings["window"] - 2 * self.engine_host.settings["tick"]
+            ):
                 return False
             self.book.exposed(when, self._index[dispatch.invocation.operation])
         return True
@@ -445,17 +468,17 @@
     def _write_down(self, key: str, build: int) -> None:
         """For the next deciding part, and for the agent's next life."""
         self.book.bound(key, build)
-        if self.keep is not None:
-            self.keep.bind(key, build)
+        if self.key_journal is not None:
+            self.key_journal.record_binding(key, build)
 
     # ---- the World ----
     def now(self) -> int:
         return self.clock.now()
 
-    def alarm_at(self, due: int) -> None:
-        self.alarms.ask(due)
+    def schedule_alarm(self, due: int) -> None:
+        self.alarms.schedule(due)
 
-    def soon(self, do: Callable[[], None]) -> None:
+    def run_soon(self, do: Callable[[], None]) -> None:
         self.loop.add_callback(do)
 
     def start(self, dispatch: Dispatch, call: FarCall) -> FarAttempt:
@@ -470,13 +493,13 @@
                     dispatch.number,
                     self.marks.get(dispatch.appliance, ""),
                     dispatch.timeout,
-                    self.seat.engine.now,
+                    self.engine_host.engine.now,
                     carrier.number,
                 ]
             )
         else:
-            self.note("book_full", level="error")
-            self.loop.add_callback(self.seat.ended, dispatch, ours.OBSOLETE)
+            self.log_event("book_full", level="error")
+            self.loop.add_callback(self.engine_host.dispatch_ended, dispatch, ours.OBSOLETE)
         return FarAttempt(call, dispatch, carrier)
 
     def probe(self, appliance: Appliance) -> None:
@@ -500,8 +523,8 @@
     def message(self, to: int | None, figures: list[int]) -> None:
         self.peers.message(to, figures)
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
-        note_line(self.log, event, level, **facts)
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
+        write_event(self.log, event, level, **facts)
 
     # ---- as the registry's Links ----
-    def listed(self, changed: list[Appliance]) -> None: ...
+    def retire_gone(self, changed: list[Appliance]) -> None: ...
--- a/cartweir/cores/desk.py
+++ b/cartweir/cores/desk.py
@@ -1,4 +1,4 @@
-"""Where a carrying part's calls wait for the deciding part's word: in place of the Seat, for front and links.
+"""Where a carrying part's calls wait for the deciding part's word: in place of the EngineHost, for front and links.
 
 Each invocation belongs to the part that holds its client's stream. That part has the last word on it: a grant that it
 gets too late is asked for anew, one for what it has answered is dropped, and no other part can answer. Without a
@@ -14,12 +14,12 @@
 from tornado.ioloop import IOLoop
 
 from .. import interface as ours
+from ..agent.appliance_pools import AppliancePools
 from ..agent.front import ClientCall
-from ..agent.links import Links
-from ..hosting.alarms import Alarms
+from ..hosting.alarms import AlarmScheduler
+from ..hosting.appliance_list import ApplianceList, ListEntry
 from ..hosting.clock import Clock
-from ..hosting.roster import Roster, Row
-from ..hosting.seat import Seat
+from ..hosting.engine_host import EngineHost
 from ..interface import READY, Appliance, Dispatch, Invocation, Operation, Stage, Throttle
 from ..wire.grpc import Headers
 from . import pipe as say
@@ -38,7 +38,7 @@
 from .lending import Lending
 from .pipe import Pipe
 
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 OUTCOMES = (
     ours.SUCCEEDED,
     ours.ERROR,
@@ -76,18 +76,18 @@
         parts: int,
         settings: Mapping[str, Any],
         clock: Clock,
-        links: Links,
-        note: Note,
+        appliance_pools: AppliancePools,
+        log_event: EventLogger,
         idents: Iterator[int],
         seed: int,
     ) -> None:
-        self.number, self.parts, self.settings, self.clock, self.links, self.note = (
+        self.number, self.parts, self.settings, self.clock, self.appliance_pools, self.log_event = (
             number,
             parts,
             settings,
             clock,
-            links,
-            note,
+            appliance_pools,
+            log_event,
         )
         self.idents, self.seed, self.loop = idents, seed, IOLoop.current()
         self.operations: dict[str, Operation] = {
@@ -95,7 +95,7 @@
         }
         self._index = {operation: at for at, operation in enumerate(settings["operations"])}
         self.cases: dict[int, Case] = {}
-        self.roster = Roster()
+        self.appliance_list = ApplianceList()
         self.appliances: dict[str, Appliance] = {}  # by the mark that the parts know one start of one by
         self.marks: dict[Appliance, str] = {}
         # of what is carried for others, all that links ask: whether its answer is a stream
@@ -107,10 +107,10 @@
         self.life = 0  # of the deciding part
         self.lending = Lending(self)
         self.leaving = False
-        self._understudy: Seat | None = None
-        self._alarms = Alarms(self.loop, clock.now, lambda: self._understudy.alarm())
+        self._understudy: EngineHost | None = None
+        self._alarms = AlarmScheduler(self.loop, clock.now, lambda: self._understudy.run_timers())
         self._dues: list[tuple[int, int]] = []  # when a case is looked at, if it still waits
-        self._watch = Alarms(self.loop, clock.now, self._look)
+        self._watch = AlarmScheduler(self.loop, clock.now, self._look)
         self._woke = clock.now()
         self._ticked = clock.now()
         self._tick()
@@ -139,7 +139,7 @@
 
     def hear(self, message: list) -> None:
         if self.silence.hear(self.clock.now()):
-            self.note("together", held=len(self.cases))
+            self.log_event("together", held=len(self.cases))
             for case in self.cases.values():
                 if not case.answered and not case.life and not case.invocation.dispatches:
                     self._refer(case)
@@ -150,14 +150,14 @@
     def _rows(self, how: str, rows: list[list]) -> None:
         found = []
         for appliance_id, build, run, started, state, zone, cell, kind, weight, address in rows:
-            self.links.addresses[appliance_id] = address
-            found.append(Row(appliance_id, build, run, started, state, zone, cell, kind, weight))
-        changed = self.roster.apply(how == "whole", found)
+            self.appliance_pools.addresses[appliance_id] = address
+            found.append(ListEntry(appliance_id, build, run, started, state, zone, cell, kind, weight))
+        changed = self.appliance_list.apply(how == "whole", found)
         for row in found:
-            self.appliances[mark_of(row)] = self.roster.appliances[row.id]
+            self.appliances[mark_of(row)] = self.appliance_list.appliances[row.id]
         self.appliances = {mark: a for mark, a in self.appliances.items() if a.state != ours.GONE}
         self.marks = {appliance: mark for mark, appliance in self.appliances.items()}
-        self.links.listed(changed)
+        self.appliance_pools.retire_gone(changed)
         if self._understudy is not None:
             self._prepare()
 
@@ -165,10 +165,10 @@
         self.stage, self.told_at = Stage(build, number, phase, 0.0, age), self.clock.now()
 
     # ---- from the front ----
-    def take(
+    def accept(
         self, call: ClientCall, operation: Operation, arrived: int, limit: int, **facts: Any
     ) -> Invocation:
-        """As the Seat's."""
+        """As the EngineHost's."""
         now = self.clock.now()
         invocation = Invocation(
             next(self.idents),
@@ -203,19 +203,19 @@
             ]
         )
 
-    def left(self, invocation: Invocation) -> None:
+    def client_left(self, invocation: Invocation) -> None:
         """The client has gone; nothing is owed."""
         case = self._case(invocation)
         if case is None:
             if self._understudy is not None:
-                self._understudy.left(invocation)
+                self._understudy.client_left(invocation)
         elif not case.answered:
             self._withdraw(case)
 
     def _withdraw(self, case: Case) -> None:
         """It is answered, or owes nothing: the deciding part is told, and what is out is awaited in silence."""
         case.answered = case.invocation.concluded = True
-        self.note("withdrawn", level="debug", invocation=case.invocation.id)
+        self.log_event("withdrawn", level="debug", invocation=case.invocation.id)
         self._gone_from_decider(case)
         self._tidy(case)
 
@@ -273,13 +273,13 @@
                 dispatch.result = ours.OBSOLETE
                 self.decider.send([say.MAY, case.invocation.id, dispatch.number])
             else:
-                self.ended(dispatch, ours.OBSOLETE)
+                self.dispatch_ended(dispatch, ours.OBSOLETE)
 
     def ask_again(self, dispatch: Dispatch) -> None:
         """Whoever carries it has found a connection for it, later than the grant holds."""
         case, goes = self._case(dispatch.invocation), None
         if case is not None:
-            goes = self.leaves(dispatch)
+            goes = self.may_send(dispatch)
         attempt = case.attempts.get(dispatch.number) if case else None
         if goes is not None and attempt is not None:
             attempt.cleared(goes)
@@ -299,7 +299,7 @@
             case.invocation.dispatches.append(moot)
         case.invocation.dispatches[number] = dispatch
         if carrier in (self.number, 0):
-            case.attempts[number] = self.links.start(dispatch, case.call)
+            case.attempts[number] = self.appliance_pools.start(dispatch, case.call)
         else:
             case.attempts[number] = self.lending.lend(dispatch, case.call, carrier)
 
@@ -356,7 +356,7 @@
     def _probe(self, mark: str) -> None:
         appliance = self.appliances.get(mark)
         if appliance is not None:
-            self.links.probe(appliance)
+            self.appliance_pools.probe(appliance)
 
     _ORDERS: dict[int, Callable[..., None]] = {
         say.DISPATCH: _dispatch,
@@ -370,13 +370,13 @@
     }
 
     # ---- from the links ----
-    def leaves(self, dispatch: Dispatch) -> bool | None:
+    def may_send(self, dispatch: Dispatch) -> bool | None:
         """A dispatch has waited for its connection; None: that it may still go is asked, and comes by cleared()."""
         if self.lending.has(dispatch):
-            return self.lending.leaves(dispatch)
+            return self.lending.may_send(dispatch)
         case = self._case(dispatch.invocation)
         if case is None:
-            return self._understudy is not None and self._understudy.leaves(dispatch)
+            return self._understudy is not None and self._understudy.may_send(dispatch)
         owed = self._wanted(case) and dispatch.result is None and dispatch.appliance.state == READY
         holds = fate(self.clock.now(), dispatch.decision_state, self.settings["tick"], owed)
         if holds == ASK and case.life == self.life != 0:
@@ -384,13 +384,13 @@
             return None
         return holds == GO
 
-    def begun(self, dispatch: Dispatch) -> bool:
-        """As the Seat's."""
+    def claim_answer(self, dispatch: Dispatch) -> bool:
+        """As the EngineHost's."""
         if self.lending.has(dispatch):
             return True  # the holder drops it if not
         case = self._case(dispatch.invocation)
         if case is None:
-            return self._understudy is not None and self._understudy.begun(dispatch)
+            return self._understudy is not None and self._understudy.claim_answer(dispatch)
         if case.answered or case.invocation.streaming:
             return False
         case.invocation.streaming = True
@@ -398,7 +398,7 @@
             self.decider.send([say.BEGUN, case.invocation.id])
         return True
 
-    def ended(
+    def dispatch_ended(
         self,
         dispatch: Dispatch,
         how: str,
@@ -406,14 +406,14 @@
         answer: tuple[Headers, list[bytes], Headers] | None = None,
         passed: bool = False,
     ) -> None:
-        """As the Seat's."""
+        """As the EngineHost's."""
         if self.lending.has(dispatch):
-            self.lending.ended(dispatch, how, load, answer, passed)
+            self.lending.dispatch_ended(dispatch, how, load, answer, passed)
             return
         case = self._case(dispatch.invocation)
         if case is None:
             if self._understudy is not None:
-                self._understudy.ended(dispatch, how, load, answer, passed)
+                self._understudy.dispatch_ended(dispatch, how, load, answer, passed)
             return
         if dispatch.result is not None:
             return
@@ -425,10 +425,10 @@
             case.answers[dispatch.number] = answer or ((), [], ())
             if given := not must_wait(
                 self.settings, case.invocation
-            ):  # as the Seat: the first success is the answer
+            ):  # as the EngineHost: the first success is the answer
                 self._give(case, SUCCEED, dispatch.number)
         if case.life and case.life == self.life:
-            lag = max(0, self.clock.now() - self.clock.arrived())
+            lag = max(0, self.clock.now() - self.clock.arrival_time())
             if how == ours.SUCCEEDED and not given:  # binds, though the dispatch was given up on meanwhile
                 self.decider.send([say.BOUND, case.invocation.key, dispatch.appliance.build])
             self.decider.send(
@@ -448,7 +448,7 @@
             self._rule(case)
         self._tidy(case)
 
-    def probed(
+    def probe_ended(
         self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
     ) -> None:
         if self.decider is not None:
@@ -502,7 +502,7 @@
                 self._give(case, THROTTLE, retry_after)
             case _:
                 self._give(case, TERMINATE, 0)
-        self.note("gave_up", level="debug", invocation=case.invocation.id)
+        self.log_event("gave_up", level="debug", invocation=case.invocation.id)
         self._gone_from_decider(case)
 
     def _gone_from_decider(self, case: Case) -> None:
@@ -516,35 +516,35 @@
         return bool(self.appliances) and may_stand_in(self.settings, invocation)
 
     @property
-    def understudy(self) -> Seat:
+    def understudy(self) -> EngineHost:
         if self._understudy is None:
             settings = understudy_known(self.settings, self.parts)
-            self._understudy = Seat(self, settings, self.seed)
+            self._understudy = EngineHost(self, settings, self.seed)
         return self._understudy
 
     def _prepare(self) -> None:
         """The understudy is told of what it may meet now."""
-        seat, now = self.understudy, self.clock.now()
-        seat.enter()
-        agent = seat.engine.agent
+        engine_host, now = self.understudy, self.clock.now()
+        engine_host.catch_up()
+        agent = engine_host.engine.agent
         if self.stage is not None and (agent.stage is None or agent.stage.identity != self.stage.identity):
             agent.on_stage(Stage(*self.stage.identity, 0.0, self.stage.age + now - self.told_at))
-        may = [a for a in self.roster.appliances.values() if may_meet_alone(self.settings, a, now)]
+        may = [a for a in self.appliance_list.appliances.values() if may_meet_alone(self.settings, a, now)]
         agent.fleet = []
         agent.on_list("whole", may)
-        seat.engine.resume_woken()
+        engine_host.engine.resume_woken()
 
     def _hand_over(
         self, invocation: Invocation, call: ClientCall, limit: int, facts: dict[str, Any]
     ) -> Invocation:
-        taken = self.understudy.take(
+        taken = self.understudy.accept(
             call, invocation.operation, invocation.arrived_at, limit, invocation_id=invocation.id, **facts
         )
         call.invocation = taken
         return taken
 
     def _go_alone(self) -> None:
-        self.note(
+        self.log_event(
             "alone",
             level="warning",
             held=len(self.cases),
@@ -577,7 +577,7 @@
 
     def _guard(self, invocation: Invocation, due: int) -> None:
         heapq.heappush(self._dues, (due, invocation.id))
-        self._watch.ask(due)
+        self._watch.schedule(due)
 
     def _look(self) -> None:
         """At what is running out of time."""
@@ -623,14 +623,14 @@
     def now(self) -> int:
         return self.clock.now()
 
-    def alarm_at(self, due: int) -> None:
-        self._alarms.ask(due)
+    def schedule_alarm(self, due: int) -> None:
+        self._alarms.schedule(due)
 
-    def soon(self, do: Callable[[], None]) -> None:
+    def run_soon(self, do: Callable[[], None]) -> None:
         self.loop.add_callback(do)
 
     def start(self, dispatch: Dispatch, call: ClientCall) -> Any:
-        return self.links.start(dispatch, call)
+        return self.appliance_pools.start(dispatch, call)
 
     def probe(self, appliance: Appliance) -> None: ...
     def vote(self, build: int, stage: int, verdict: str) -> None: ...
@@ -639,6 +639,6 @@
     def message(self, to: int | None, figures: list[int]) -> None: ...
 
 
-def mark_of(row: Row) -> str:
+def mark_of(row: ListEntry) -> str:
     """By which the parts know one start of one appliance."""
     return f"{row.id}/{row.build}/{row.run}"
--- a/cartweir/cores/lending.py
+++ b/cartweir/cores/lending.py
@@ -10,9 +10,9 @@
 from typing import Any, Protocol
 
 from .. import interface as ours
+from ..agent.appliance_pools import Attempt
 from ..agent.front import ClientCall
-from ..agent.links import Attempt
-from ..agent.names import Asked
+from ..agent.grpc_mapping import RequestHeaders
 from ..hosting.clock import Clock
 from ..interface import READY, Appliance, Dispatch, Invocation, Operation
 from ..wire.grpc import Headers
@@ -29,14 +29,14 @@
 
     settings: Mapping[str, Any]
     clock: Clock
-    links: Any
+    appliance_pools: Any
     loop: Any
     marks: Mapping[Appliance, str]
     appliances: Mapping[str, Appliance]
     shapes: Mapping[bool, Operation]
 
-    def begun(self, dispatch: Dispatch) -> bool: ...
-    def ended(
+    def claim_answer(self, dispatch: Dispatch) -> bool: ...
+    def dispatch_ended(
         self,
         dispatch: Dispatch,
         how: str,
@@ -71,19 +71,19 @@
         self.pipe.send([say.ROOM, *self.key, size])
 
     def begin(self, head: Headers, body: list[bytes]) -> None:
-        if self.lending.desk.begun(self.dispatch):
+        if self.lending.desk.claim_answer(self.dispatch):
             self.passing = True
             self.call.begin(self, head, body)
         else:
             self.abandon(False)
-            self.lending.desk.ended(self.dispatch, ours.CANCELLED)
+            self.lending.desk.dispatch_ended(self.dispatch, ours.CANCELLED)
 
 
 class Borrowed:
     """The carrier's end: in place of a ClientCall."""
 
-    def __init__(self, pipe: Pipe, asked: Asked, body: list[bytes]) -> None:
-        self.pipe, self.asked, self.body = pipe, asked, body
+    def __init__(self, pipe: Pipe, asked: RequestHeaders, body: list[bytes]) -> None:
+        self.pipe, self.request, self.body = pipe, asked, body
         self.key = (0, 0)
         self.stream: Stream | None = None
         self.attempt: Attempt | None = None
@@ -110,7 +110,7 @@
     def lend(self, dispatch: Dispatch, call: ClientCall, carrier: int) -> Any:
         pipe = self.pipes.get(carrier)
         if pipe is None or pipe.closed:
-            self.desk.loop.add_callback(self.desk.ended, dispatch, ours.OBSOLETE)  # it never left
+            self.desk.loop.add_callback(self.desk.dispatch_ended, dispatch, ours.OBSOLETE)  # it never left
             return _Nowhere(dispatch)
         invocation = dispatch.invocation
         afar = self.afar[invocation.id, dispatch.number] = Afar(self, dispatch, call, pipe)
@@ -125,8 +125,8 @@
                 invocation.deadline,
                 invocation.operation.stream,
                 invocation.key,
-                call.asked.path,
-                [list(pair) for pair in call.asked.metadata],
+                call.request.path,
+                [list(pair) for pair in call.request.metadata],
                 call.body,
             ]
         )
@@ -165,7 +165,7 @@
             if answer is not None:
                 head, body, tail = answer
                 answer = (tuple(map(tuple, head)), body, tuple(map(tuple, tail)))
-            self.desk.ended(afar.dispatch, how, load, answer, passed)
+            self.desk.dispatch_ended(afar.dispatch, how, load, answer, passed)
 
     # ---- the carrier ----
     def _carry(
@@ -191,14 +191,14 @@
         ):
             pipe.send([say.CARRIED, *key, STALE, None, None, False])
             return
-        call = Borrowed(pipe, Asked(path, None, b"", [tuple(pair) for pair in metadata]), body)
+        call = Borrowed(pipe, RequestHeaders(path, None, b"", [tuple(pair) for pair in metadata]), body)
         call.key = key
         invocation = Invocation(key[0], desk.shapes[stream], now, expires, key=about)
         dispatch = Dispatch(appliance, patience, None, invocation, key[1], now)
         dispatch.decision_state = given
         self.carried[dispatch] = call
         self._by_key[key] = dispatch
-        call.attempt = desk.links.start(dispatch, call)
+        call.attempt = desk.appliance_pools.start(dispatch, call)
 
     def _told(self, kind: int, dispatch: Dispatch, *rest: Any) -> None:
         call = self.carried[dispatch]
@@ -216,7 +216,7 @@
     def has(self, dispatch: Dispatch) -> bool:
         return dispatch in self.carried
 
-    def leaves(self, dispatch: Dispatch) -> bool | None:
+    def may_send(self, dispatch: Dispatch) -> bool | None:
         call = self.carried[dispatch]
         now = self.desk.clock.now()
         owed = now < dispatch.invocation.deadline and dispatch.appliance.state == READY
@@ -227,7 +227,7 @@
         call.pipe.send([say.AGAIN, *call.key])
         return None
 
-    def ended(
+    def dispatch_ended(
         self,
         dispatch: Dispatch,
         how: str,
@@ -255,7 +255,7 @@
         for afar in [a for a in self.afar.values() if a.pipe is pipe]:
             del self.afar[afar.key]
             self.desk.bind(afar.dispatch.invocation.key, afar.dispatch.appliance.build)
-            self.desk.ended(afar.dispatch, ours.RESET, passed=afar.passing)
+            self.desk.dispatch_ended(afar.dispatch, ours.RESET, passed=afar.passing)
         for dispatch, call in [(d, c) for d, c in self.carried.items() if c.pipe is pipe]:
             attempt = call.attempt
             self._done(dispatch)
--- a/cartweir/cores/part.py
+++ b/cartweir/cores/part.py
@@ -17,12 +17,20 @@
 
 from tornado.ioloop import IOLoop
 
-from ..agent.daemon import bounds_of, make_log, methods_of, note_line, operations_of, reach_of, tell_fault
+from ..agent.appliance_pools import AppliancePools
+from ..agent.control_plane import PEER_MESSAGE_PATH
+from ..agent.daemon import (
+    appliance_options,
+    build_operations,
+    front_limits,
+    log_unhandled_exception,
+    make_logger,
+    operations_by_path,
+    write_event,
+)
 from ..agent.front import Front
-from ..agent.links import Links
-from ..agent.news import TELL
-from ..hosting.clock import Clock, loop, turns_of
-from ..hosting.ending import Ending
+from ..hosting.clock import Clock, arrival_selector, new_event_loop
+from ..hosting.graceful_shutdown import GracefulShutdown
 from ..settings.schema import AgentDocument
 from ..wire.tap import FileTap
 from .decider import Decider
@@ -97,30 +105,32 @@
     def __init__(self, role: Role, log: Any) -> None:
         document, agent = role.document, role.document.agent
         self.role, self.log, self.parts = role, log, agent.cores
-        self.clock = Clock(agent.heartbeat, turns_of(asyncio.get_running_loop()))
+        self.clock = Clock(agent.heartbeat, arrival_selector(asyncio.get_running_loop()))
         tap = role.open_tap()
-        self.links = Links(reach_of(document, agent.cores), self.clock.now, self.note, tap)
-        operations = operations_of(document)
+        self.appliance_pools = AppliancePools(
+            appliance_options(document, agent.cores), self.clock.now, self.log_event, tap
+        )
+        operations = build_operations(document)
         settings = {**document.decision_settings(), "operations": operations}
         # numbers of invocations that no other part and no other life uses
         idents = itertools.count((role.life * agent.cores + role.number - 1) * LIVES + 1)
         seed = (agent.seed or int.from_bytes(os.urandom(4), "big")) * 1000 + role.number
-        self.desk = self.links.seat = Desk(
-            role.number, agent.cores, settings, self.clock, self.links, self.note, idents, seed
+        self.desk = self.appliance_pools.engine_host = Desk(
+            role.number, agent.cores, settings, self.clock, self.appliance_pools, self.log_event, idents, seed
         )
-        bounds = bounds_of(document)
+        bounds = front_limits(document)
         bounds.connections = math.ceil(bounds.connections / agent.cores)
         self.front = Front(
             self.desk,
-            methods_of(document, self.desk.operations),
+            operations_by_path(document, self.desk.operations),
             bounds,
             self.clock,
-            self.note,
-            {TELL: self.desk.tell} if document.allowed.may_message else {},
+            self.log_event,
+            {PEER_MESSAGE_PATH: self.desk.tell} if document.allowed.may_message else {},
             tap,
         )
         self.ended = asyncio.Event()
-        self.ending = Ending(
+        self.shutdown = GracefulShutdown(
             self.clock.now,
             agent.tick,
             agent.drain_time,
@@ -128,24 +138,24 @@
             lambda: self.desk.held,
             self.desk.give_up_all,
             self._end,
-            self.note,
+            self.log_event,
         )
         self.control = Control(role.control, agent.heartbeat, self._told)
         self.control.beats += [self.desk.beat, self._stalls]
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
-        note_line(self.log, event, level, **facts)
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
+        write_event(self.log, event, level, **facts)
 
     def _stalls(self) -> None:
-        stalled = self.clock.beat()
+        stalled = self.clock.measure_stall()
         if stalled:
-            self.note("stalled", level="warning", milliseconds=stalled // 1000)
+            self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
 
     def _told(self, message: dict, files: list[int]) -> None:
         if "meet" in message:
             self._meet(message["meet"], message["life"], socket.socket(fileno=files[0]))
         elif "drain" in message:
-            self.signalled()
+            self.on_signal()
 
     def _meet(self, number: int, life: int, sock: socket.socket) -> None:
         if number == DECIDER:
@@ -164,15 +174,15 @@
         self.front.accept_from([self.role.listening], accept_after)
         self.control.say(ready=True)
 
-    def signalled(self) -> None:
+    def on_signal(self) -> None:
         self.desk.leaving = True
         self.desk.beat()
-        self.ending.signalled()
+        self.shutdown.on_signal()
 
     def _end(self) -> None:
         self.front.close()
-        self.links.close()
-        self.note("part_stopped")
+        self.appliance_pools.close()
+        self.log_event("part_stopped")
         self.ended.set()
 
 
@@ -183,7 +193,7 @@
         self.decider = Decider(role.document, log, role.files, role.life, role.open_tap(), role.facts)
         self.ended = asyncio.Event()
         self.control = Control(role.control, role.document.agent.heartbeat, self._told)
-        self.note = self.decider.note
+        self.log_event = self.decider.log_event
 
     def _told(self, message: dict, files: list[int]) -> None:
         if "meet" in message:
@@ -195,18 +205,18 @@
         self.decider.start_up()
         self.control.say(ready=True)
 
-    def signalled(self) -> None:
+    def on_signal(self) -> None:
         """Another one takes its place."""
         self.ended.set()
 
 
 async def _live(role: Role) -> None:
     document = role.document
-    log = make_log(document.log.format, document.log.level, part=role.number)
+    log = make_logger(document.log.format, document.log.level, part=role.number)
     part = (Deciding if role.number == DECIDER else Carrier)(role, log)
     running = asyncio.get_running_loop()
-    running.set_exception_handler(lambda _, context: tell_fault(part.note, context))
-    running.add_signal_handler(signal.SIGTERM, part.signalled)
+    running.set_exception_handler(lambda _, context: log_unhandled_exception(part.log_event, context))
+    running.add_signal_handler(signal.SIGTERM, part.on_signal)
     part.start_up()
     await part.ended.wait()
     await asyncio.sleep(0)
@@ -218,6 +228,6 @@
         # each accepts from the same queue by a descriptor of its own
         role = replace(role, listening=role.listening.dup())
         role.listening.setblocking(False)
-    with asyncio.Runner(loop_factory=loop) as runner:
+    with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(_live(role))
     return 0
--- a/cartweir/cores/supervisor.py
+++ b/cartweir/cores/supervisor.py
@@ -19,8 +19,8 @@
 
 from tornado.netutil import bind_sockets
 
-from ..agent.daemon import make_log
-from ..agent.keep import lock
+from ..agent.daemon import make_logger
+from ..agent.key_journal_file import lock_journal
 from ..hosting.clock import monotonic
 from ..hosting.tcp import split_address
 from ..settings.schema import AgentDocument
@@ -54,12 +54,12 @@
     ) -> None:
         self.document, self.tap, self.work = document, tap, work
         agent = document.agent
-        self.log = make_log(document.log.format, document.log.level)
+        self.log = make_logger(document.log.format, document.log.level)
         host, port = split_address(agent.listen)
         self.listening = bind_sockets(port, host, backlog=1024)[0]
         self.address = f"{host}:{self.listening.getsockname()[1]}"
         self.files = new_files()
-        self.facts = lock(agent.facts_file, ENDING) if agent.facts_file else None
+        self.facts = lock_journal(agent.facts_file, ENDING) if agent.facts_file else None
         chance = random.Random(agent.seed)
         self.children = {
             number: Child(number, Tending(agent.hang_time, chance)) for number in range(agent.cores + 1)
@@ -69,7 +69,7 @@
         self._started = False
         self._expected_at = monotonic()
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
         getattr(self.log, level)(event, **facts)
 
     # ---- the loop ----
@@ -93,7 +93,7 @@
                 said = self.signals
                 self._end_all(said)
             if said and not any(child.pid for child in self.children.values()):
-                self.note("stopped")
+                self.log_event("stopped")
                 return 0
             self._expected_at = now + LOOK
             for key, _ in self.selector.select(LOOK / 1e6):
@@ -113,7 +113,7 @@
         lag = max(0, now - self._expected_at)
         for child in self.children.values():
             if child.pid and child.tending.hung(now, lag):
-                self.note(
+                self.log_event(
                     "part_hung", level="error", part=child.number, silent=(now - child.tending.beat) // 1000
                 )
                 child.tending.beat = now
@@ -150,7 +150,7 @@
         child.tending.started(now)
         self.selector.register(ours, selectors.EVENT_READ, child)
         if child.life > 1:
-            self.note("part_started", part=child.number, life=child.life, pid=pid)
+            self.log_event("part_started", part=child.number, life=child.life, pid=pid)
         for other in others:
             self._introduce(child, other)
 
@@ -175,7 +175,7 @@
             code = self.work(role)
         except BaseException as error:  # noqa: BLE001 - nothing of it may come back into the supervisor's code
             where = traceback.extract_tb(error.__traceback__)[-1] if error.__traceback__ else None
-            self.note(
+            self.log_event(
                 "internal_error",
                 level="error",
                 part=role.number,
@@ -217,7 +217,7 @@
                 if not self._started and all(c.ready for c in self.children.values()):
                     self._started = True
                     agent = self.document.agent
-                    self.note(
+                    self.log_event(
                         "started",
                         listen=self.address,
                         me=agent.me,
@@ -242,7 +242,7 @@
             child.control.close()
             child.control = None
         child.due = child.tending.again(now)
-        self.note(
+        self.log_event(
             "part_ended",
             level="info" if code == 0 else "error",
             part=child.number,
@@ -255,7 +255,7 @@
         """Carrying parts drain, or answer what is owed at once; the deciding part ends when they have."""
         if signals == 1:
             self.listening.close()
-            self.note("draining")
+            self.log_event("draining")
         for child in self.children.values():
             if child.number != DECIDER and child.control is not None:
                 try:
--- a/cartweir/drill/adapter.py
+++ b/cartweir/drill/adapter.py
@@ -1,4 +1,4 @@
-"""Wire names, units and ids to ours and back: one Seat for each instance, no state but an instance's own."""
+"""Wire names, units and ids to ours and back: one EngineHost for each instance, no state but an instance's own."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from .. import interface as ours
 from ..engine import Engine
-from ..hosting.known import LOADS, known_from
-from ..hosting.roster import Roster, Row
+from ..hosting.appliance_list import ApplianceList, ListEntry
+from ..hosting.platform_settings import LOADS, parse_settings
 from ..interface import Appliance, Dispatch, Invocation, Outcome, Stage, Tally
 from .wire import WireError, encode, messages, milliseconds, one_line
 
@@ -33,9 +33,9 @@
     return {LOADS[name]: value for name, value in row.get("usage", {}).items() if name in LOADS} or None
 
 
-def _entry(row: dict[str, Any]) -> Row:
+def _entry(row: dict[str, Any]) -> ListEntry:
     started = row.get("upSince", 0)
-    return Row(
+    return ListEntry(
         row["appliance"],
         row.get("runs", 0),
         started,
@@ -48,14 +48,14 @@
     )
 
 
-class Seat:
+class EngineHost:
     """One instance's door: its ids, and its actions as lines."""
 
     def __init__(self, name: str, now: int, seed: int, params: dict[str, Any], out: list[str]) -> None:
         self.name, self.out = name, out
-        self.roster = Roster()
+        self.appliance_list = ApplianceList()
         self.invocations: dict[int, Invocation] = {}
-        settings = known_from(params)
+        settings = parse_settings(params)
         self.operations = {operation.name: operation for operation in settings["operations"]}
         self.engine = Engine(now, seed, settings, self)
 
@@ -104,8 +104,8 @@
         self._say("NOTIFY", addressee="*" if to is None else to, body=" ".join(map(str, figures)).encode())
 
     # ---- in ----
-    def registry(self, how: str, rows: list[Row]) -> None:
-        changed = self.roster.apply(how in ("whole", "cached"), rows)
+    def registry(self, how: str, rows: list[ListEntry]) -> None:
+        changed = self.appliance_list.apply(how in ("whole", "cached"), rows)
         self.engine.agent.on_list(how, changed)
 
     def take(self, now: int, row: dict[str, Any], number: int) -> None:
@@ -157,8 +157,8 @@
             self.engine.client_left(invocation)
             self._forget(invocation)
 
-    def handle(self, number: int, message: str, row: dict[str, Any], rows: list[Row]) -> None:
-        agent, appliance = self.engine.agent, self.roster.appliances.get(row.get("appliance", ""))
+    def handle(self, number: int, message: str, row: dict[str, Any], rows: list[ListEntry]) -> None:
+        agent, appliance = self.engine.agent, self.appliance_list.appliances.get(row.get("appliance", ""))
         match message:
             case "INGRESS":
                 self.take(self.engine.now, row, number)
@@ -219,12 +219,12 @@
 
 def serve(source: TextIO, sink: TextIO) -> None:
     """Read batches and reply to each until the input ends."""
-    seats: dict[str, Seat] = {}
-    sheets: dict[int, list[Row]] = {}
+    seats: dict[str, EngineHost] = {}
+    sheets: dict[int, list[ListEntry]] = {}
     out: list[str] = []
-    touched: dict[str, Seat] = {}
+    touched: dict[str, EngineHost] = {}
     now: int | None = None
-    sheet: list[Row] = []
+    sheet: list[ListEntry] = []
     missing = 0
     for number, message, row in messages(source):
         if missing and message != "ENTRY":
@@ -237,8 +237,8 @@
         if now is None:
             raise WireError(f"line {number}: {message} outside a batch")
         if message == "OVER_TO_YOU":
-            for name, seat in touched.items():
-                _guarded(name, seat.engine.resume_woken, out)
+            for name, engine_host in touched.items():
+                _guarded(name, engine_host.engine.resume_woken, out)
             touched.clear()
             out.append("ACK\n")
             sink.write("\n".join(out))
@@ -256,26 +256,26 @@
         elif message == "SPAWN":
             name = row["agent"]
             try:
-                seats[name] = touched[name] = Seat(name, now, row["rngSeed"], row["params"], out)
+                seats[name] = touched[name] = EngineHost(name, now, row["rngSeed"], row["params"], out)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 raise WireError(f"line {number}: SPAWN: params are malformed ({error!r})") from None
         else:
             name = row["agent"]
-            seat = seats.get(name)
-            if seat is None:
+            engine_host = seats.get(name)
+            if engine_host is None:
                 raise WireError(f"line {number}: {message} for {name[:40]!r}, which is not running")
             if message == "DESTROY":
                 del seats[name]
                 touched.pop(name, None)
                 continue
-            rows: list[Row] = []
+            rows: list[ListEntry] = []
             if message == "REGISTRY" and row["how"] != "error":
                 if row.get("sheet") not in sheets:
                     raise WireError(f"line {number}: REGISTRY: sheet {row.get('sheet')} was never sent")
                 rows = sheets[row["sheet"]]
-            seat.engine.advance_to(now)
-            touched[name] = seat
-            _guarded(name, lambda: seat.handle(number, message, row, rows), out)
+            engine_host.engine.advance_to(now)
+            touched[name] = engine_host
+            _guarded(name, lambda: engine_host.handle(number, message, row, rows), out)
     if now is not None:
         raise WireError("input ended inside a batch")
 
--- a/cartweir/faults/comeback.py
+++ b/cartweir/faults/comeback.py
@@ -171,7 +171,7 @@
         # of an older copy it knows less than it had, but for the list, which it goes by
         loses = {"kept": (), "lost": KEPT, "old": ("stage", "facts")}[scene.state]
         for me in struck:
-            self.note("killed", agent=me, tap=f"agent{me}-{self._lives[me]}.tap", loses=loses)
+            self.log_event("killed", agent=me, tap=f"agent{me}-{self._lives[me]}.tap", loses=loses)
             self.running[me].kill()
         self.killed_at = monotonic()
         if scene.zone:
--- a/cartweir/faults/day.py
+++ b/cartweir/faults/day.py
@@ -93,7 +93,7 @@
             owner = await self.rig.owner(seconds=3)
         except TimeoutError:
             return
-        self.day.note("fault", who=f"controller {owner}", what=how, value=seconds)
+        self.day.log_event("fault", who=f"controller {owner}", what=how, value=seconds)
         if how == "killed":
             await self.rig.kill(owner)
             await asyncio.sleep(seconds)
@@ -116,7 +116,7 @@
                     face = at["build"], at["stage"], at["phase"]
                     if last is None or (face != last and face[0] >= last[0]):
                         last = face
-                        self.day.note(
+                        self.day.log_event(
                             "stage",
                             build=face[0],
                             number=face[1],
--- a/cartweir/faults/light.py
+++ b/cartweir/faults/light.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from ..agent.news import ConveyorNews, Stamps
+from ..agent.control_plane import ConveyorClient, PersistentFence
+from ..hosting.backoff import Backoff
 from ..hosting.clock import monotonic
 from ..hosting.tcp import spawn
-from ..hosting.waits import Waits
 from ..interface import ON, Stage
 from ..proto import agent_pb2 as pb
 from ..wire.calls import Channel
@@ -24,22 +24,24 @@
         self.settings, self.operations = {"caps": (0.0,) * stages}, {}
         self._follow = follow
 
-    def staged(self, stage: Stage) -> None:
+    def apply_stage(self, stage: Stage) -> None:
         self._follow(stage)
 
-    def flagged(self, *_: Any) -> None: ...
-    def tallied(self, _: Any) -> None: ...
+    def apply_flag(self, *_: Any) -> None: ...
+    def apply_tally(self, _: Any) -> None: ...
 
 
-class _Noted(Stamps):
+class _Noted(PersistentFence):
     """Tells of each decision that is followed, under its stamp."""
 
-    def __init__(self, path: str | None, note: Callable[..., None], on_take: Callable[[tuple], None]) -> None:
-        super().__init__(path, note)
+    def __init__(
+        self, path: str | None, log_event: Callable[..., None], on_take: Callable[[tuple], None]
+    ) -> None:
+        super().__init__(path, log_event)
         self._on_take = on_take
 
-    async def take(self, stamp: Any, build: int = 0) -> bool:
-        may = await super().take(stamp, build)
+    async def try_follow(self, stamp: Any, build: int = 0) -> bool:
+        may = await super().try_follow(stamp, build)
         if may:
             self._on_take(tuple(stamp))
         return may
@@ -69,17 +71,17 @@
         """A life, which knows what its file holds."""
         self.stage: Stage | None = None
         self.stamp: tuple = (0, 0)
-        self.stamps = _Noted(str(self._file) if self._file else None, self._note, self._taken)
-        self.news = ConveyorNews(
+        self.stage_fence = _Noted(str(self._file) if self._file else None, self._note, self._taken)
+        self.news = ConveyorClient(
             _Seat(self._stages, self._follow),
             [Channel(address, 300_000) for address in self._addresses],
             pb.Hello(agent=self.number),
             800_000,
             6_000_000,
-            Waits(50_000, 500_000, self._chance),
+            Backoff(50_000, 500_000, self._chance),
             self._note,
             monotonic,
-            self.stamps,
+            self.stage_fence,
             self._chance,
         )
         self.news.start()
--- a/cartweir/faults/rig.py
+++ b/cartweir/faults/rig.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..agent.news import write_whole
+from ..agent.control_plane import write_atomically
 from ..controller.directory import found
 from ..controller.settings import ControllerDocument, read_controller
 from ..hosting.clock import monotonic
@@ -330,7 +330,7 @@
         self.say("disk", who=name, **fault)
         self.counts["disk"] += bool(fault)
         if fault:
-            write_whole(self._disk(name), json.dumps(fault))
+            write_atomically(self._disk(name), json.dumps(fault))
         else:
             self._disk(name).unlink(missing_ok=True)
 
--- a/cartweir/hosting/alarms.py
+++ b/cartweir/hosting/alarms.py
@@ -9,15 +9,15 @@
 from tornado.ioloop import IOLoop
 
 
-class Alarms:
-    """`ring` is called at each moment that was asked for, or soon after."""
+class AlarmScheduler:
+    """`callback` is called at each moment that was asked for, or soon after."""
 
-    def __init__(self, loop: IOLoop, now: Callable[[], int], ring: Callable[[], None]) -> None:
-        self.loop, self.now, self.ring = loop, now, ring
+    def __init__(self, loop: IOLoop, now: Callable[[], int], callback: Callable[[], None]) -> None:
+        self.loop, self.now, self.callback = loop, now, callback
         self._next: tuple[int, Any] | None = None
         self._dues: list[int] = []
 
-    def ask(self, due: int) -> None:
+    def schedule(self, due: int) -> None:
         """Each one that is asked for fires: the engine may have run what an earlier one was for, and asked anew."""
         heapq.heappush(self._dues, due)
         self._schedule()
@@ -37,6 +37,6 @@
             due = True
         try:
             if due:
-                self.ring()
+                self.callback()
         finally:  # whatever goes wrong there, the next one fires
             self._schedule()
--- a/cartweir/hosting/roster.py
+++ b/cartweir/hosting/appliance_list.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Row:
+class ListEntry:
     """One entry of news; None: the news does not say."""
 
     id: str
@@ -30,13 +30,13 @@
 SPARE_GONE = 1_024  # gone appliances that are kept beside as many as stand: reports of them, and their return, may still come
 
 
-class Roster:
+class ApplianceList:
     def __init__(self) -> None:
         self.appliances: dict[str, Appliance] = {}
         self._runs: dict[str, Hashable] = {}
         self._gone: dict[str, None] = {}  # in the order in which they went
 
-    def apply(self, whole: bool, rows: Iterable[Row]) -> list[Appliance]:
+    def apply(self, whole: bool, rows: Iterable[ListEntry]) -> list[Appliance]:
         """The appliances that the news concerns, in its order; `whole`: what it does not name is gone."""
         changed: list[Appliance] = []
         named = set()
--- a/cartweir/hosting/clock.py
+++ b/cartweir/hosting/clock.py
@@ -15,7 +15,7 @@
     return time.monotonic_ns() // 1000
 
 
-class Turns(selectors.DefaultSelector):
+class ArrivalSelector(selectors.DefaultSelector):
     """The loop's selector, which knows since when the bytes of a turn may have been waiting: not before the turn
     before it, if they were there at once; not before it went to wait, if it was woken far too late (the process was
     stopped, or starved); else they came as it was woken."""
@@ -52,28 +52,28 @@
     that runs; without one, what is dealt with now is taken to have come now."""
 
     def __init__(
-        self, heartbeat: int, turns: Turns | None = None, read: Callable[[], int] = monotonic
+        self, heartbeat: int, turns: ArrivalSelector | None = None, read: Callable[[], int] = monotonic
     ) -> None:
         self.heartbeat, self.turns, self.now = heartbeat, turns, read
         self.last = self.now()
 
-    def beat(self) -> int:
+    def measure_stall(self) -> int:
         """Returns by how long the process was held up, 0 for not at all."""
         now, due = self.now(), self.last + self.heartbeat
         self.last = now
         return now - due if now > due + self.heartbeat else 0
 
-    def arrived(self) -> int:
+    def arrival_time(self) -> int:
         """The earliest moment at which what is dealt with now may have come in: no client is promised time that
         it has not got."""
         return self.now() if self.turns is None else min(self.turns.since, self.now())
 
 
-def loop() -> asyncio.AbstractEventLoop:
+def new_event_loop() -> asyncio.AbstractEventLoop:
     """A loop whose clock knows its turns."""
-    return asyncio.SelectorEventLoop(Turns())
+    return asyncio.SelectorEventLoop(ArrivalSelector())
 
 
-def turns_of(running: asyncio.AbstractEventLoop) -> Turns | None:
+def arrival_selector(running: asyncio.AbstractEventLoop) -> ArrivalSelector | None:
     selector = getattr(running, "_selector", None)
-    return selector if isinstance(selector, Turns) else None
+    return selector if isinstance(selector, ArrivalSelector) else None
--- a/cartweir/hosting/seat.py
+++ b/cartweir/hosting/engine_host.py
@@ -14,7 +14,7 @@
 from .. import interface as ours
 from ..engine import Engine
 from ..interface import Appliance, Dispatch, Invocation, Operation, Outcome, Stage, Tally, Throttle
-from .roster import Roster, Row
+from .appliance_list import ApplianceList, ListEntry
 
 Headers = Sequence[tuple[bytes, bytes]]  # of an answer, whatever it came by
 
@@ -34,26 +34,26 @@
         """Stop waiting for its answer; late: because its time is up."""
 
 
-class World(Protocol):
+class Environment(Protocol):
     """What the seat needs of its surroundings."""
 
     def now(self) -> int: ...
-    def alarm_at(self, due: int) -> None: ...
-    def soon(self, do: Callable[[], None]) -> None: ...
+    def schedule_alarm(self, due: int) -> None: ...
+    def run_soon(self, do: Callable[[], None]) -> None: ...
     def start(self, dispatch: Dispatch, call: Call) -> Attempt: ...
     def probe(self, appliance: Appliance) -> None: ...
     def vote(self, build: int, stage: int, verdict: str) -> None: ...
     def subscribe(self) -> None: ...
     def fetch_list(self) -> None: ...
     def message(self, to: int | None, figures: list[int]) -> None: ...
-    def note(self, event: str, **facts: Any) -> None: ...
+    def log_event(self, event: str, **facts: Any) -> None: ...
 
 
 def answering(method: Callable[..., Any]) -> Callable[..., Any]:
     """Guards against faults of ours: they are raised as they were, but whoever they have broken off is answered first."""
 
     @wraps(method)
-    def entered(self: Seat, *arguments: Any, **more: Any) -> Any:
+    def entered(self: EngineHost, *arguments: Any, **more: Any) -> Any:
         try:
             return method(self, *arguments, **more)
         except Exception:
@@ -65,22 +65,22 @@
     return entered
 
 
-class Seat:
+class EngineHost:
     """One instance. known: the plain map of settings, with its operations."""
 
-    def __init__(self, world: World, settings: Mapping[str, Any], seed: int) -> None:
-        self.world = world
+    def __init__(self, environment: Environment, settings: Mapping[str, Any], seed: int) -> None:
+        self.environment = environment
         self.settings = settings
         self.operations: dict[str, Operation] = {
             operation.name: operation for operation in settings["operations"]
         }
-        self.roster = Roster()
+        self.appliance_list = ApplianceList()
         self.calls: dict[Invocation, Call] = {}  # invocations that are owed an answer
         self.attempts: dict[Dispatch, Attempt] = {}  # dispatches that are out
         self.lag = 0  # by how long what is told now was held up before it came here
         self._count = 0
         self._word: tuple | None = None  # of the newest build, as last noted
-        self.engine = Engine(world.now(), seed, settings, self)
+        self.engine = Engine(environment.now(), seed, settings, self)
 
     # ---- out: the Door ----
     def dispatch(self, dispatch: Dispatch) -> None:
@@ -93,10 +93,10 @@
             or (dispatch.number >= self.settings["dispatch_limit"])
             or dispatch.appliance.state == ours.GONE
         ):
-            self.world.soon(lambda: self.ended(dispatch, ours.OBSOLETE))
+            self.environment.run_soon(lambda: self.dispatch_ended(dispatch, ours.OBSOLETE))
             return
-        self.attempts[dispatch] = self.world.start(dispatch, call)
-        self.world.note(
+        self.attempts[dispatch] = self.environment.start(dispatch, call)
+        self.environment.log_event(
             "dispatch",
             invocation=invocation.id,
             dispatch=dispatch.number,
@@ -110,7 +110,9 @@
             # given up at the very moment at which its own time is up: the alarm was only the first to tell
             late = self.engine.now >= dispatch.sent + dispatch.timeout > dispatch.sent
             attempt.abandon(late)
-            self.world.soon(lambda: self.ended(dispatch, ours.TIMEOUT if late else ours.CANCELLED))
+            self.environment.run_soon(
+                lambda: self.dispatch_ended(dispatch, ours.TIMEOUT if late else ours.CANCELLED)
+            )
 
     def throttle(self, invocation: Invocation, retry_after: int) -> None:
         self._answer(invocation, "throttled", lambda call: call.throttle(retry_after))
@@ -122,7 +124,7 @@
         call = self.calls.pop(invocation, None)
         if call is not None:
             give(call)
-            self.world.note(
+            self.environment.log_event(
                 "answer",
                 invocation=invocation.id,
                 operation=invocation.operation.name,
@@ -132,52 +134,52 @@
             )
 
     def set_timer(self, due: int) -> None:
-        self.world.alarm_at(due)
+        self.environment.schedule_alarm(due)
 
     def log(self, text: str) -> None:
-        self.world.note("decision", text=text)
+        self.environment.log_event("decision", text=text)
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
-        self.world.vote(build, stage, verdict)
+        self.environment.vote(build, stage, verdict)
 
     def subscribe(self) -> None:
-        self.world.subscribe()
+        self.environment.subscribe()
 
     def fetch_list(self) -> None:
-        self.world.fetch_list()
+        self.environment.fetch_list()
 
     def probe(self, appliance: Appliance) -> None:
-        self.world.probe(appliance)
+        self.environment.probe(appliance)
 
     def message(self, to: int | None, figures: list[int]) -> None:
-        self.world.message(to, figures)
+        self.environment.message(to, figures)
 
     # ---- a life before this one ----
-    def binds(self, appliance: Appliance) -> bool:
+    def binds_key(self, appliance: Appliance) -> bool:
         """Whether a dispatch to it may bind its key."""
         return self.settings["one_way"] and self.engine.agent.binds_key(appliance)
 
-    def recall(self, recalled: Any) -> None:
+    def restore(self, recalled: Any) -> None:
         """bound, forgot and spent, as fleet/key_journal.py has them."""
         self.engine.agent.restore(recalled.bound, bool(recalled.forgot), recalled.spent)
 
     # ---- in ----
-    def enter(self) -> None:
+    def catch_up(self) -> None:
         """The present moment; what is overdue comes before any news."""
-        now = max(self.world.now(), self.engine.now)
+        now = max(self.environment.now(), self.engine.now)
         self.engine.advance_to(now)
         self.engine.run_overdue_timers()
         if self.lag > self.engine.lag:
             self.engine.lag = self.lag
 
     @answering
-    def alarm(self) -> None:
-        self.engine.advance_to(max(self.world.now(), self.engine.now))
+    def run_timers(self) -> None:
+        self.engine.advance_to(max(self.environment.now(), self.engine.now))
         self.engine.run_timers()
         self.engine.resume_woken()
 
     @answering
-    def take(
+    def accept(
         self,
         call: Call,
         operation: Operation,
@@ -187,7 +189,7 @@
         **facts: Any,
     ) -> Invocation:
         """A whole call has come in; limit: how long after `arrived` its client waits; ident: where it has one."""
-        self.enter()
+        self.catch_up()
         self._count += 1
         invocation = Invocation(
             self._count if invocation_id is None else invocation_id,
@@ -202,22 +204,22 @@
         return invocation
 
     @answering
-    def left(self, invocation: Invocation) -> None:
+    def client_left(self, invocation: Invocation) -> None:
         """The client has gone; nothing is owed."""
         if self.calls.pop(invocation, None) is not None:
-            self.enter()
-            self.world.note("left", invocation=invocation.id)
+            self.catch_up()
+            self.environment.log_event("left", invocation=invocation.id)
             self.engine.client_left(invocation)
             self.engine.resume_woken()
 
-    def leaves(self, dispatch: Dispatch) -> bool:
+    def may_send(self, dispatch: Dispatch) -> bool:
         """A dispatch has its connection at last; False: it must not go out any more."""
         if dispatch.result is not None or dispatch.invocation not in self.calls:
             return False
-        self.enter()
+        self.catch_up()
         return self.engine.may_send(dispatch)
 
-    def begun(self, dispatch: Dispatch) -> bool:
+    def claim_answer(self, dispatch: Dispatch) -> bool:
         """The dispatch's answer starts to be passed on; False: another one has been before it."""
         invocation = dispatch.invocation
         if invocation not in self.calls or invocation.streaming:
@@ -226,7 +228,7 @@
         return True
 
     @answering
-    def ended(
+    def dispatch_ended(
         self,
         dispatch: Dispatch,
         how: str,
@@ -238,7 +240,7 @@
         if dispatch.result is not None:
             return
         self.attempts.pop(dispatch, None)
-        self.enter()
+        self.catch_up()
         invocation = dispatch.invocation
         if how == ours.SUCCEEDED and (answer is not None or passed):
             self._answer(invocation, "succeeded", lambda call: call.succeed(*(answer or ((), [], ()))))
@@ -252,54 +254,58 @@
             invocation.dispatches = []  # each knows its invocation: no cycle is left to the collector
 
     @answering
-    def probed(
+    def probe_ended(
         self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
     ) -> None:
-        self.enter()
+        self.catch_up()
         self.engine.probe_ended(appliance, answered, took, load)
         self.engine.resume_woken()
 
     @answering
-    def listed(self, how: str, rows: Iterable[Row] = (), waited: int | None = 0) -> list[Appliance]:
+    def apply_list(self, how: str, rows: Iterable[ListEntry] = (), waited: int | None = 0) -> list[Appliance]:
         """how: one of interface.py's; waited: without an answer, how long one was waited for; None if not known."""
-        self.enter()
+        self.catch_up()
         told = how in (ours.DELTA, ours.SNAPSHOT, ours.CACHED)
-        changed = self.roster.apply(how != ours.DELTA, rows) if told else []
+        changed = self.appliance_list.apply(how != ours.DELTA, rows) if told else []
         self.engine.agent.on_list(how, changed, waited)
         self.engine.resume_woken()
         return changed
 
     @answering
-    def staged(self, stage: Stage) -> None:
+    def apply_stage(self, stage: Stage) -> None:
         if stage.vote_answer in (None, "ok") and self._word != (stage.identity, stage.cap):
             self._word = (stage.identity, stage.cap)
-            self.world.note("stage", build=stage.build, stage=stage.number, phase=stage.phase, cap=stage.cap)
-        self.enter()
+            self.environment.log_event(
+                "stage", build=stage.build, stage=stage.number, phase=stage.phase, cap=stage.cap
+            )
+        self.catch_up()
         self.engine.agent.on_stage(stage)
         self.engine.resume_woken()
 
     @answering
-    def tallied(self, tally: Tally) -> None:
-        self.enter()
+    def apply_tally(self, tally: Tally) -> None:
+        self.catch_up()
         self.engine.agent.on_tally(tally)
         self.engine.resume_woken()
 
     @answering
-    def flagged(self, operation: str, appliance: str, age: int) -> None:
-        self.enter()
-        if operation in self.operations and appliance in self.roster.appliances:
-            self.engine.agent.on_flag(self.operations[operation], self.roster.appliances[appliance], age)
+    def apply_flag(self, operation: str, appliance: str, age: int) -> None:
+        self.catch_up()
+        if operation in self.operations and appliance in self.appliance_list.appliances:
+            self.engine.agent.on_flag(
+                self.operations[operation], self.appliance_list.appliances[appliance], age
+            )
         self.engine.resume_woken()
 
     @answering
-    def told(self, sender: int, figures: list[int]) -> None:
-        self.enter()
+    def receive_message(self, sender: int, figures: list[int]) -> None:
+        self.catch_up()
         self.engine.agent.on_message(sender, figures)
         self.engine.resume_woken()
 
     def give_up_all(self) -> None:
         """The process ends now: what is owed is answered as the decisions say."""
-        self.enter()
+        self.catch_up()
         for invocation in list(self.calls):
             match self.engine.agent.give_up(invocation):
                 case Throttle(retry_after):
--- a/cartweir/hosting/ending.py
+++ b/cartweir/hosting/graceful_shutdown.py
@@ -7,7 +7,7 @@
 
 from tornado.ioloop import IOLoop
 
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
 class Front(Protocol):
@@ -21,7 +21,7 @@
         """Takes nothing new."""
 
 
-class Ending:
+class GracefulShutdown:
     """held: how many calls are owed an answer; give_up: answers them; close: the end. Times in microseconds."""
 
     def __init__(
@@ -33,19 +33,25 @@
         held: Callable[[], int],
         give_up: Callable[[], None],
         close: Callable[[], None],
-        note: Note,
+        log_event: EventLogger,
     ) -> None:
         self.now, self.tick, self.drain_time = now, tick, drain_time
-        self.front, self.held, self.give_up, self.close, self.note = front, held, give_up, close, note
+        self.front, self.held, self.give_up, self.close, self.log_event = (
+            front,
+            held,
+            give_up,
+            close,
+            log_event,
+        )
         self._loop = IOLoop.current()
         self._signals = self._deadline = 0
         self._ended = False
 
-    def signalled(self) -> None:
+    def on_signal(self) -> None:
         """The first time: drain. The second: answer what is owed, and end."""
         self._signals += 1
         if self._signals == 1:
-            self.note("draining", held=self.held())
+            self.log_event("draining", held=self.held())
             self.front.drain()
             self._deadline = self.now() + self.drain_time
             self._drained()
@@ -63,7 +69,7 @@
             self._end()
 
     def _give_up(self) -> None:
-        self.note("giving_up", level="warning", held=self.held())
+        self.log_event("giving_up", level="warning", held=self.held())
         self.give_up()
         # a turn for what has just been said to reach the sockets
         self._loop.call_later(self.tick / 1e6, self._end)
--- a/cartweir/hosting/faults.py
+++ b/cartweir/hosting/internal_errors.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 
-def tell(note: Callable[..., None], what: str | None, error: BaseException | None) -> None:
+def log_internal_error(log_event: Callable[..., None], what: str | None, error: BaseException | None) -> None:
     where = traceback.extract_tb(error.__traceback__)[-1] if error and error.__traceback__ else None
-    note(
+    log_event(
         "internal_error",
         level="error",
         what=what,
--- a/cartweir/hosting/known.py
+++ b/cartweir/hosting/platform_settings.py
@@ -177,7 +177,7 @@
     )
 
 
-def known_from(params: dict[str, Any]) -> dict[str, Any]:
+def parse_settings(params: dict[str, Any]) -> dict[str, Any]:
     """The settings as a plain map of our names to values. Raises SettingError."""
     settings = {name: _setting(params, *where) for name, where in SETTINGS.items()}
     settings["operations"] = tuple(_operation(row, place) for place, row in _rows(params, "classes"))
--- a/cartweir/hosting/pools.py
+++ b/cartweir/hosting/pools.py
@@ -8,7 +8,7 @@
 from ..interface import GONE, Appliance
 
 
-class Kept(Protocol):
+class ConnectionPool(Protocol):
     """Connections to one address."""
 
     address: str
@@ -17,10 +17,10 @@
         """They end once they carry nothing."""
 
 
-P = TypeVar("P", bound=Kept)
+P = TypeVar("P", bound=ConnectionPool)
 
 
-class Pools(Generic[P]):
+class ConnectionPools(Generic[P]):
     """One for each appliance that was dispatched to; `addresses` is what the news says, by ident."""
 
     def __init__(self, make: Callable[[str], P]) -> None:
@@ -28,7 +28,7 @@
         self.pools: dict[Appliance, P] = {}
         self.addresses: dict[str, str] = {}
 
-    def listed(self, changed: list[Appliance]) -> None:
+    def retire_gone(self, changed: list[Appliance]) -> None:
         """Those that are gone lose their connections once they carry nothing, and their address."""
         standing = {appliance.id for appliance in changed if appliance.state != GONE}
         for appliance in changed:
--- a/cartweir/hosting/tcp.py
+++ b/cartweir/hosting/tcp.py
@@ -12,10 +12,10 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-CHUNK = 64 * 1024  # read at a time
+READ_SIZE = 64 * 1024  # read at a time
 
 
-class LinkStream(IOStream):
+class ReadOnReadyStream(IOStream):
     """Reads when it is told that there is something. Tornado's own first tries, and a link that has just dealt with all
     there was would find its socket empty each time: one system call in two."""
 
@@ -31,7 +31,7 @@
 async def connect(host: str, port: int, timeout: int) -> IOStream:
     """A connected stream within so many microseconds. Raises OSError or StreamClosedError's cause as OSError."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    stream = LinkStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=4 * CHUNK)
+    stream = ReadOnReadyStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=4 * READ_SIZE)
     try:
         await asyncio.wait_for(stream.connect((host, port)), timeout / 1e6)
     except asyncio.CancelledError:  # the loop would hold on to it for as long as nobody answers there
@@ -64,7 +64,7 @@
         """The kernel has taken what it had not taken at once."""
 
 
-class Socket:
+class NonBlockingSocket:
     """A connected, non-blocking socket on the loop, for protocols that must know what has left: a stream of Tornado's
     does not tell a write that the kernel took whole from one that it took in part, and cannot end its sending alone."""
 
@@ -86,7 +86,7 @@
 
     def _readable(self) -> None:
         try:
-            data = self.socket.recv(CHUNK)
+            data = self.socket.recv(READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
@@ -97,7 +97,7 @@
         else:
             self.owner.on_lost("closed by the other side")
 
-    def quiet(self) -> bool:
+    def nothing_to_read(self) -> bool:
         """Nothing has come, not even an end, that the loop has not had the time to tell."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
@@ -107,7 +107,7 @@
             pass
         return False
 
-    def ended(self) -> bool:
+    def at_end(self) -> bool:
         """The other side has ended it, and all that it said before has been told."""
         try:
             return not self.socket.recv(1, socket.MSG_PEEK)
@@ -141,7 +141,7 @@
             self.loop.remove_writer(self._fd)
             self.owner.on_sent()
 
-    def finish(self) -> None:
+    def shutdown_write(self) -> None:
         """Ends our sending, and goes on reading."""
         try:
             self.socket.shutdown(socket.SHUT_WR)
@@ -157,7 +157,7 @@
             self.socket.close()
 
 
-class Connecting:
+class PendingConnection:
     """A connection being made. `done` is told the connected socket, or None and why there is none."""
 
     def __init__(
--- a/cartweir/model/crowd.py
+++ b/cartweir/model/crowd.py
@@ -14,7 +14,7 @@
 
 from ..fleet.admission import AdmissionControl
 from ..fleet.recovery import peak_count
-from ..hosting.waits import Waits
+from ..hosting.backoff import Backoff
 from .world import World
 
 DEFENCES = ("admission", "advice", "waits", "changes")
@@ -115,7 +115,7 @@
         chance = random.Random(world.chance.getrandbits(32))
         self.known, self.heeds = chance.random() < crowd.knows, chance.random() < crowd.heeds
         self.at, self.call, self.done = chance.randrange(len(receivers)), 0, False
-        self.waits = Waits(crowd.least, crowd.most, chance)
+        self.backoff = Backoff(crowd.least, crowd.most, chance)
 
     def ask(self) -> None:
         self.call += 1
@@ -135,7 +135,7 @@
     def _again(self, advice: int) -> None:
         self.call += 1  # what comes for the last one comes too late
         self.at = (self.at + 1) % len(self.receivers) if not advice else self.at
-        wait = self.crowd.least if "waits" in self.crowd.off else int(self.waits.again() * 1e6)
+        wait = self.crowd.least if "waits" in self.crowd.off else int(self.backoff.next_delay() * 1e6)
         self.world.after(max(wait, advice), self.ask)
 
 
--- a/cartweir/node/config.py
+++ b/cartweir/node/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..hosting.known import SettingError, known_from
+from ..hosting.platform_settings import SettingError, parse_settings
 from ..hosting.tcp import split_address
 
 
@@ -98,7 +98,7 @@
     seed = _of(told, "seed", str, "a hexadecimal number")
     settings = _of(told, "settings", dict, "the object of settings")
     try:
-        decision_settings = known_from(settings)
+        decision_settings = parse_settings(settings)
     except SettingError as error:
         raise ConfigError(f"settings.{error}") from None
     if not decision_settings["operations"]:
--- a/cartweir/node/daemon.py
+++ b/cartweir/node/daemon.py
@@ -12,11 +12,11 @@
 
 from tornado.ioloop import IOLoop
 
-from ..hosting import clock, faults
-from ..hosting.alarms import Alarms
-from ..hosting.clock import Clock, turns_of
-from ..hosting.seat import Seat
-from ..hosting.waits import Waits
+from ..hosting import clock, internal_errors
+from ..hosting.alarms import AlarmScheduler
+from ..hosting.backoff import Backoff
+from ..hosting.clock import Clock, arrival_selector
+from ..hosting.engine_host import EngineHost
 from ..interface import Appliance, Dispatch
 from .config import Config, ConfigError, read
 from .desk import Desk
@@ -42,35 +42,37 @@
     def __init__(self, config: Config, reread: Callable[[], Config] = read) -> None:
         self.config, self.reread = config, reread
         self.loop = asyncio.get_running_loop()
-        self.clock = Clock(HEARTBEAT, turns_of(self.loop))
+        self.clock = Clock(HEARTBEAT, arrival_selector(self.loop))
         settings = config.decision_settings
         room = max(16, config.sockets - RESERVE)
         idle = settings["idle_time"]
         self.links = Links(
             Reach(settings["connect_timeout"], PROBE_TIMEOUT, idle * 6 // 10, room // 2),
             self.clock.now,
-            self.note,
+            self.log_event,
         )
-        self.alarms = Alarms(IOLoop.current(), self.clock.now, lambda: self.seat.alarm())
+        self.alarms = AlarmScheduler(IOLoop.current(), self.clock.now, lambda: self.engine_host.run_timers())
         self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
         self.discovery: Discovery | None = None
-        self.seat = self.links.seat = Seat(self, settings, config.seed)
+        self.engine_host = self.links.engine_host = EngineHost(self, settings, config.seed)
         # where lists are pushed nobody asks for the watch; it is opened anew here, however long discovery is away
-        waits = None if settings["must_ask"] else Waits(*RECONNECT, random.Random(config.seed + 2))
-        self.discovery = Discovery(self.seat, self.links, config.discovery, self.clock.now, self.note, waits)
+        backoff = None if settings["must_ask"] else Backoff(*RECONNECT, random.Random(config.seed + 2))
+        self.discovery = Discovery(
+            self.engine_host, self.links, config.discovery, self.clock.now, self.log_event, backoff
+        )
         self.desk = Desk(
-            self.seat,
+            self.engine_host,
             config.desk,
             settings["vote_timeout"],
-            Waits(*RECONNECT, random.Random(config.seed + 1)),
-            self.note,
+            Backoff(*RECONNECT, random.Random(config.seed + 1)),
+            self.log_event,
         )
         self.peers = (
-            Peers(self.seat, config.peer_listen, config.peers, config.peers_all, self.note)
+            Peers(self.engine_host, config.peer_listen, config.peers, config.peers_all, self.log_event)
             if (settings["may_message"] and config.peer_listen)
             else None
         )
-        self.front = Front(self.seat, self.clock, room // 2, self.note, self._ready)
+        self.front = Front(self.engine_host, self.clock, room // 2, self.log_event, self._ready)
         self.started_at = self.clock.now()
         self.ended = asyncio.Event()
 
@@ -78,10 +80,10 @@
     def now(self) -> int:
         return self.clock.now()
 
-    def alarm_at(self, due: int) -> None:
-        self.alarms.ask(due)
+    def schedule_alarm(self, due: int) -> None:
+        self.alarms.schedule(due)
 
-    def soon(self, do: Callable[[], None]) -> None:
+    def run_soon(self, do: Callable[[], None]) -> None:
         self.loop.call_soon(do)
 
     def start(self, dispatch: Dispatch, call: Call) -> Attempt:
@@ -106,7 +108,7 @@
         if self.peers is not None:
             self.peers.message(to, figures)
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
         if level != "debug" and event not in ("dispatch", "answer", "left"):
             print(
                 f"{self.clock.now() / 1e6:.3f} {event}",
@@ -121,17 +123,17 @@
         self.discovery.start(self.config.listed)
         for say in self._to_say:
             say()
-        if not self.seat.settings["must_ask"]:
+        if not self.engine_host.settings["must_ask"]:
             self.discovery.subscribe()
         self.desk.start(self.config.stage)
         address = self.front.listen(self.config.listen)
         self._beat()
-        self.note(
+        self.log_event(
             "started",
             listen=address,
-            me=self.seat.settings["me"],
-            agents=self.seat.settings["agents"],
-            appliances=len(self.seat.roster.appliances),
+            me=self.engine_host.settings["me"],
+            agents=self.engine_host.settings["agents"],
+            appliances=len(self.engine_host.appliance_list.appliances),
         )
         return address
 
@@ -140,9 +142,9 @@
         return self.discovery.synchronized or self.clock.now() >= self.started_at + READY_WITHIN
 
     def _beat(self) -> None:
-        stalled = self.clock.beat()
+        stalled = self.clock.measure_stall()
         if stalled > 100 * MS:
-            self.note("stalled", level="warning", milliseconds=stalled // 1000)
+            self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
         self.loop.call_later(HEARTBEAT / 1e6, self._beat)
 
     def reload(self) -> None:
@@ -150,28 +152,28 @@
         try:
             config = self.reread()
         except ConfigError as error:
-            self.note("config_bad", level="warning", why=str(error))
+            self.log_event("config_bad", level="warning", why=str(error))
             return
-        self.note("reloaded", discovery=config.discovery, desk=config.desk)
+        self.log_event("reloaded", discovery=config.discovery, desk=config.desk)
         self.discovery.move(config.discovery)
         self.desk.move(config.desk)
 
     def terminate(self) -> None:
         """SIGTERM: what has been taken, and what still comes, is answered; then the end."""
         if not self.front.draining:
-            self.note("draining", held=len(self.seat.calls))
+            self.log_event("draining", held=len(self.engine_host.calls))
             self.front.drain()
             self._check_end()
 
     def _check_end(self) -> None:
-        if self.front.busy or self.seat.calls:
+        if self.front.busy or self.engine_host.calls:
             self.loop.call_later(END_CHECK / 1e6, self._check_end)
-            if self.seat.calls and self.clock.now() >= self.front.ends_by:
+            if self.engine_host.calls and self.clock.now() >= self.front.ends_by:
                 # time limits of other customers are longer than what is left: an answer that tells where to go beats none
-                self.note("giving_up", level="warning", held=len(self.seat.calls))
-                self.seat.give_up_all()
+                self.log_event("giving_up", level="warning", held=len(self.engine_host.calls))
+                self.engine_host.give_up_all()
         else:
-            self.note("stopped", refused=self.front.refused, evicted=self.front.evicted)
+            self.log_event("stopped", refused=self.front.refused, evicted=self.front.evicted)
             self.ended.set()
 
 
@@ -180,7 +182,9 @@
     daemon = Daemon(config)
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
-        lambda _, context: faults.tell(daemon.note, context.get("message"), context.get("exception"))
+        lambda _, context: internal_errors.log_internal_error(
+            daemon.log_event, context.get("message"), context.get("exception")
+        )
     )
     loop.add_signal_handler(signal.SIGTERM, daemon.terminate)
     loop.add_signal_handler(signal.SIGINT, daemon.terminate)
@@ -192,5 +196,5 @@
 
 
 def main(config: Config) -> None:
-    with asyncio.Runner(loop_factory=clock.loop) as runner:
+    with asyncio.Runner(loop_factory=clock.new_event_loop) as runner:
         runner.run(run(config))
--- a/cartweir/node/desk.py
+++ b/cartweir/node/desk.py
@@ -10,17 +10,17 @@
 from tornado.iostream import IOStream, StreamClosedError, UnsatisfiableReadError
 
 from .. import interface as ours
-from ..hosting import faults
-from ..hosting.seat import Seat
+from ..hosting import internal_errors
+from ..hosting.backoff import Backoff
+from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import connect, spawn, split_address
-from ..hosting.waits import Waits
 from ..interface import Stage
 from . import names
 
 MOST_LINE = 64 * 1024
 CONNECT = 1_000_000  # microseconds
 QUIET = 3_000_000  # a sign of life is due every second
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
 class Lost(Exception):
@@ -44,15 +44,22 @@
 
 
 class Desk:
-    def __init__(self, seat: Seat, address: str, vote_timeout: int, waits: Waits, note: Note) -> None:
-        self.seat, self.address, self.vote_timeout, self.waits, self.note = (
-            seat,
+    def __init__(
+        self,
+        engine_host: EngineHost,
+        address: str,
+        vote_timeout: int,
+        backoff: Backoff,
+        log_event: EventLogger,
+    ) -> None:
+        self.engine_host, self.address, self.vote_timeout, self.backoff, self.log_event = (
+            engine_host,
             address,
             vote_timeout,
-            waits,
-            note,
+            backoff,
+            log_event,
         )
-        self.stages = min(len(seat.settings["caps"]), len(seat.settings["shares"]))
+        self.stages = min(len(engine_host.settings["caps"]), len(engine_host.settings["shares"]))
         self._listener: asyncio.Task | None = None
         self._lost, self._calls = False, 0
 
@@ -62,7 +69,7 @@
             try:
                 self._stage(state, None)
             except ValueError as error:
-                self.note("stage_unknown", level="warning", why=str(error))
+                self.log_event("stage_unknown", level="warning", why=str(error))
         self._listener = spawn(self._listening())
 
     def move(self, address: str) -> None:
@@ -89,36 +96,36 @@
                         told = True
                         if self._lost:
                             self._lost = False
-                            self.note("desk_back")
+                            self.log_event("desk_back")
                     self._news(line.get("method"), line.get("params"))
-                    self.waits.fine()  # not before: what never can be read is asked for ever more rarely
+                    self.backoff.reset()  # not before: what never can be read is asked for ever more rarely
             except (Lost, OSError, ValueError, StreamClosedError) as error:
                 if told or not self._lost:
                     self._lost = True
-                    self.note("desk_lost", level="warning", why=str(error)[:200])
+                    self.log_event("desk_lost", level="warning", why=str(error)[:200])
             except Exception as error:  # a fault of ours: told, and the one listener goes on
-                faults.tell(self.note, "in news", error)
+                internal_errors.log_internal_error(self.log_event, "in news", error)
             finally:
                 if stream is not None:
                     stream.close()
-            await asyncio.sleep(self.waits.again())
+            await asyncio.sleep(self.backoff.next_delay())
 
     def _news(self, method: Any, told: Any) -> None:
         """Raises ValueError."""
         if method == "news":
             self._stage(told, None)
         elif method == "report" and isinstance(told, dict):
-            self.seat.flagged(
+            self.engine_host.apply_flag(
                 str(told.get("class")), str(told.get("server")), round(names.figure(told, "age_ms", 0) * 1000)
             )
         elif method == "counts" and isinstance(told, dict):
-            operation = self.seat.operations.get(str(told.get("class")))
+            operation = self.engine_host.operations.get(str(told.get("class")))
             if operation is not None:
-                self.seat.tallied(names.tally_of(told, operation))
+                self.engine_host.apply_tally(names.tally_of(told, operation))
 
     def _stage(self, told: Any, answer: str | None) -> None:
         """Raises ValueError."""
-        self.seat.staged(names.stage_of(told, self.stages, answer))
+        self.engine_host.apply_stage(names.stage_of(told, self.stages, answer))
 
     # ---- votes ----
     def vote(self, build: int, stage: int, verdict: str) -> None:
@@ -152,11 +159,11 @@
         finally:
             if stream is not None:
                 stream.close()
-        self.note("vote", build=build, stage=stage, verdict=verdict, answer=how)
+        self.log_event("vote", build=build, stage=stage, verdict=verdict, answer=how)
         if how == "ok":
             try:
                 self._stage(told, "ok")
                 return
             except ValueError:
                 how = "timeout"
-        self.seat.staged(Stage(build, stage, ours.ON_TRIAL, 0.0, 0, how))
+        self.engine_host.apply_stage(Stage(build, stage, ours.ON_TRIAL, 0.0, 0, how))
--- a/cartweir/node/discovery.py
+++ b/cartweir/node/discovery.py
@@ -14,10 +14,10 @@
 from tornado.iostream import IOStream, StreamClosedError, UnsatisfiableReadError
 
 from .. import interface as ours
-from ..hosting import faults
-from ..hosting.seat import Seat
-from ..hosting.tcp import CHUNK, connect, spawn, split_address
-from ..hosting.waits import Waits
+from ..hosting import internal_errors
+from ..hosting.backoff import Backoff
+from ..hosting.engine_host import EngineHost
+from ..hosting.tcp import READ_SIZE, connect, spawn, split_address
 from . import http1, names
 from .http1 import Malformed, Pieces
 from .jsonstream import JsonStream
@@ -33,7 +33,7 @@
     250_000  # a connection that ends sooner, with no byte of an answer, was refused, not worked through
 )
 MAX_LIST_BYTES = 16 * 1024 * 1024
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
 class CallFailed(Exception):
@@ -75,7 +75,7 @@
     async def _bytes(self, wait: int) -> bytes:
         try:
             async with asyncio.timeout(wait / 1e6):  # wait_for may swallow the word to end
-                return await self.stream.read_bytes(CHUNK, partial=True)
+                return await self.stream.read_bytes(READ_SIZE, partial=True)
         except TimeoutError:
             raise CallFailed(f"nothing for {wait // 1000} ms") from None
         except StreamClosedError as error:
@@ -94,15 +94,21 @@
 
     def __init__(
         self,
-        seat: Seat,
+        engine_host: EngineHost,
         links: Links,
         address: str,
         now: Callable[[], int],
-        note: Note,
-        waits: Waits | None = None,
+        log_event: EventLogger,
+        backoff: Backoff | None = None,
     ) -> None:
-        self.seat, self.links, self.address, self.now, self.note = seat, links, address, now, note
-        self.waits = waits
+        self.engine_host, self.links, self.address, self.now, self.log_event = (
+            engine_host,
+            links,
+            address,
+            now,
+            log_event,
+        )
+        self.backoff = backoff
         self.version: int | None = None
         self.synchronized = False  # it has told something in this process, or was out of reach
         self._told = 0  # lists and changes followed so far
@@ -115,11 +121,11 @@
         try:
             self._apply(ours.CACHED, listed.get("endpoints", ()))
         except ValueError as error:
-            self.note("list_bad", level="warning", why=str(error))
-            self.seat.listed(ours.CACHED)
+            self.log_event("list_bad", level="warning", why=str(error))
+            self.engine_host.apply_list(ours.CACHED)
         else:
             self.version = _version_of(listed)
-        self.seat.listed(ours.UNANSWERED, waited=None)
+        self.engine_host.apply_list(ours.UNANSWERED, waited=None)
 
     def subscribe(self) -> None:
         if self._watch is None or self._watch.done():
@@ -154,11 +160,11 @@
                 if call.reader.answer is not None:
                     raise CallFailed("the watch was ended")
                 if call.watching and call.objects.between_objects and self._watch is me:
-                    self.seat.listed(ours.UNCHANGED)
+                    self.engine_host.apply_list(ours.UNCHANGED)
         except (CallFailed, Malformed, OSError, ValueError, RecursionError, StreamClosedError) as error:
             failure = error
         except Exception as error:  # a fault of ours: told, and the watch is opened anew
-            faults.tell(self.note, "in a list", error)
+            internal_errors.log_internal_error(self.log_event, "in a list", error)
             failure = error
         finally:
             if old is not None:
@@ -168,13 +174,13 @@
         if self._watch is me:
             if not self._lost:
                 self._lost = True
-                self.note(
+                self.log_event(
                     "discovery_lost", level="warning", why=(str(failure) or type(failure).__name__)[:200]
                 )
             self._watch = None
             self._failed(failure, began if call is None else call.current_at)
-            if self.waits is not None:
-                await asyncio.sleep(self.waits.again())
+            if self.backoff is not None:
+                await asyncio.sleep(self.backoff.next_delay())
                 self.subscribe()
 
     async def _fetching(self) -> None:
@@ -189,10 +195,10 @@
                 raise CallFailed(f"{len(found)} lists in an answer")
             self._listing(found[0], overtaken=told != self._told)
         except (CallFailed, Malformed, OSError, ValueError, RecursionError, StreamClosedError) as error:
-            self.note("fetch_failed", level="warning", why=str(error)[:200])
+            self.log_event("fetch_failed", level="warning", why=str(error)[:200])
             self._failed(error, began)
         except Exception as error:
-            faults.tell(self.note, "in a list", error)
+            internal_errors.log_internal_error(self.log_event, "in a list", error)
             self._failed(error, began)
         finally:
             if call is not None:
@@ -216,9 +222,9 @@
         waited = self.now() - current_at
         if isinstance(failure, Unreachable):
             self.synchronized = True
-            self.seat.listed(ours.UNREACHABLE, waited=waited)
+            self.engine_host.apply_list(ours.UNREACHABLE, waited=waited)
         else:
-            self.seat.listed(ours.UNANSWERED, waited=waited)
+            self.engine_host.apply_list(ours.UNANSWERED, waited=waited)
 
     # ---- what it says ----
     def _listing(self, told: Any, overtaken: bool = False) -> None:
@@ -233,7 +239,7 @@
             and version < self.version
             and (overtaken or not whole)
         ):
-            self.note("list_old", level="warning", version=version, held=self.version)
+            self.log_event("list_old", level="warning", version=version, held=self.version)
             if overtaken:
                 return  # of a call from before what is held now
             self.version = None  # changes of another life of discovery: asked anew, for the whole list
@@ -241,21 +247,21 @@
         self._apply(ours.SNAPSHOT if whole else ours.DELTA, told["endpoints"])
         self.version, self._told = version, self._told + 1
         self.synchronized = True
-        if self.waits is not None:
-            self.waits.fine()
+        if self.backoff is not None:
+            self.backoff.reset()
         if self._lost:
             self._lost = False
-            self.note("discovery_back", version=self.version)
-        self.note("list", level="debug", version=self.version, named=len(told["endpoints"]))
+            self.log_event("discovery_back", version=self.version)
+        self.log_event("list", level="debug", version=self.version, named=len(told["endpoints"]))
 
     def _apply(self, how: str, entries: Any) -> None:
         rows, unread = names.rows_of(entries, self.now())
         if unread:
-            self.note("list_bad", level="warning", entries=len(unread), first=unread[0][:200])
+            self.log_event("list_bad", level="warning", entries=len(unread), first=unread[0][:200])
         for row, address in rows:
             if address:
                 self.links.addresses[row.id] = address
-        self.links.listed(self.seat.listed(how, [row for row, _ in rows]))
+        self.links.retire_gone(self.engine_host.apply_list(how, [row for row, _ in rows]))
 
 
 def _version_of(told: Mapping[str, Any]) -> int | None:
--- a/cartweir/node/front.py
+++ b/cartweir/node/front.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from ..hosting.clock import Clock
-from ..hosting.seat import Seat
-from ..hosting.tcp import Socket, split_address
+from ..hosting.engine_host import EngineHost
+from ..hosting.tcp import NonBlockingSocket, split_address
 from ..interface import FINGERPRINTED, IDEMPOTENT, Invocation, Operation
 from . import http1, names
 from .http1 import Malformed, Request, Requests
@@ -37,7 +37,7 @@
 )  # the end is forced so long after the word: the longest time limit, at most the first; and this
 HELD_UP = 20 * MS  # what has been read so long after it came may come from a client that has gone meanwhile
 _IDENT = re.compile(rb"[!-~]{1,128}")
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
 class Call:
@@ -63,7 +63,7 @@
 
     def gone(self) -> bool:
         """Its client has gone, also where the loop has not had the time to tell."""
-        return self.client is None or self.client.socket.ended()
+        return self.client is None or self.client.socket.at_end()
 
     def leave(self) -> None:
         if self.client is not None:
@@ -103,7 +103,7 @@
         self.served = self.asked = False  # asked: a whole request has come, and nothing has been said to it
         self.over = False  # only the other side's reading is awaited
         self.stays, self.drained, self.unsent = True, 0, 0
-        self.socket = Socket(front.loop, sock, self)
+        self.socket = NonBlockingSocket(front.loop, sock, self)
 
     # ---- in ----
     def on_data(self, data: bytes) -> None:
@@ -138,7 +138,11 @@
                 self.refuse(500, "an error of the agent")
             elif self.call is not None:  # the fault was another's: this one is under way
                 self.call.invocation = next(
-                    (invocation for invocation, call in self.front.seat.calls.items() if call is self.call),
+                    (
+                        invocation
+                        for invocation, call in self.front.engine_host.calls.items()
+                        if call is self.call
+                    ),
                     None,
                 )
             raise
@@ -150,7 +154,7 @@
         """Slow readers have their answers too; only then does what the connection is to come to begin."""
         self.since, self.unsent = self.front.clock.now(), 0
         if self.over:
-            self.socket.finish()
+            self.socket.shutdown_write()
 
     # ---- out ----
     def refuse(self, status: int, reason: str) -> None:
@@ -174,7 +178,7 @@
         if not stays:
             self.over = True
             if not self.socket.unsent:
-                self.socket.finish()
+                self.socket.shutdown_write()
         front.idle[self] = None
 
     def leave(self) -> None:
@@ -184,7 +188,7 @@
             call.client = None
             self.front.calls.pop(call.id, None)
             if call.invocation is not None:
-                self.front.seat.left(call.invocation)
+                self.front.engine_host.client_left(call.invocation)
 
     def close(self) -> None:
         if not self.socket.closed:
@@ -200,11 +204,24 @@
     """most: connections of clients at a time. ready: whether clients may be told to come."""
 
     def __init__(
-        self, seat: Seat, clock: Clock, most: int, note: Note, ready: Callable[[], bool] = lambda: True
+        self,
+        engine_host: EngineHost,
+        clock: Clock,
+        most: int,
+        log_event: EventLogger,
+        ready: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.seat, self.clock, self.most, self.note, self.ready = seat, clock, most, note, ready
+        self.engine_host, self.clock, self.most, self.log_event, self.ready = (
+            engine_host,
+            clock,
+            most,
+            log_event,
+            ready,
+        )
         self.loop = asyncio.get_event_loop()
-        self.operations: Mapping[bytes, Operation] = {name.encode(): o for name, o in seat.operations.items()}
+        self.operations: Mapping[bytes, Operation] = {
+            name.encode(): o for name, o in engine_host.operations.items()
+        }
         self.clients: set[Client] = set()
         self.idle: OrderedDict[Client, None] = (
             OrderedDict()
@@ -212,7 +229,7 @@
         self.calls: dict[bytes, Call] = {}
         self.draining = False
         self.refused = self.evicted = 0
-        self.longest = max((operation.time_limit for operation in seat.operations.values()), default=0)
+        self.longest = max((operation.time_limit for operation in engine_host.operations.values()), default=0)
         self.ends_by = 0  # once the word has come: what is owed is answered until then
         self._listener: socket.socket | None = None
         self._door = True  # whether connections are taken in at present
@@ -275,7 +292,12 @@
                 rank = 0 if age >= YOUNG else None
             else:
                 rank = (2 if age >= HALF else None) if begun else (1 if age >= SPARE else None)
-            if rank is not None and rank not in spares and not client.socket.unsent and client.socket.quiet():
+            if (
+                rank is not None
+                and rank not in spares
+                and not client.socket.unsent
+                and client.socket.nothing_to_read()
+            ):
                 spares[rank] = client
                 if rank == 0:
                     break
@@ -296,7 +318,7 @@
                 elif age > self.longest + LINGER:
                     client.close()
             elif client.over:  # to close on unread bytes would reset what it has not read of its answer
-                if age > SILENT or (age > LINGER and client.socket.quiet()):
+                if age > SILENT or (age > LINGER and client.socket.nothing_to_read()):
                     client.close()
             elif client.reader.begun:
                 if age > SILENT:
@@ -304,15 +326,15 @@
             elif (not client.served and age > SILENT) or (
                 client.served and self.draining and self._listener is None
             ):
-                if client.socket.quiet():
+                if client.socket.nothing_to_read():
                     client.close()
         self._open_door(True)
 
     # ---- requests ----
     def take(self, client: Client, request: Request) -> None:
         """Raises Malformed."""
-        arrived = self.clock.arrived()
-        if (not client.served or self.clock.now() - arrived > HELD_UP) and client.socket.ended():
+        arrived = self.clock.arrival_time()
+        if (not client.served or self.clock.now() - arrived > HELD_UP) and client.socket.at_end():
             client.close()  # it waited outside, or we stood still: nobody waits for it any more
             return
         path = request.target.partition(b"?")[0]
@@ -346,7 +368,7 @@
             head.append((b"Idempotency-Key", fingerprint))
         call = client.call = self.calls[request_id] = Call(client, request_id, head, request)
         key = request.header(names.KEY)
-        invocation = self.seat.take(
+        invocation = self.engine_host.accept(
             call,
             operation,
             arrived,
@@ -380,7 +402,7 @@
             if (
                 client.served
                 and not (client.over or client.reader.begun or client.socket.unsent)
-                and client.socket.quiet()
+                and client.socket.nothing_to_read()
             ):
                 client.close()  # a request that crosses this end was never read: its client asks elsewhere
 
