--- a/cartweir/node/links.py
+++ b/cartweir/node/links.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 
 from .. import interface as ours
-from ..hosting.pools import Pools
-from ..hosting.seat import Seat
-from ..hosting.tcp import Connecting, Socket
+from ..hosting.engine_host import EngineHost
+from ..hosting.pools import ConnectionPools
+from ..hosting.tcp import NonBlockingSocket, PendingConnection
 from ..interface import Appliance, Dispatch
 from . import http1, names
 from .front import Call
 from .http1 import Answer, Answers, Malformed
 from .trust import Trust
 
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 SWEEP = 100_000
 FADE = 10_000_000
 REST = 20_000  # microseconds: an answer's second copy may come some milliseconds behind it
@@ -38,14 +38,14 @@
     most: int  # connections to all appliances
 
 
-class Links(Pools["Pool"]):
+class Links(ConnectionPools["Pool"]):
     """All connections to appliances."""
 
-    def __init__(self, reach: Reach, now: Callable[[], int], note: Note) -> None:
+    def __init__(self, reach: Reach, now: Callable[[], int], log_event: EventLogger) -> None:
         super().__init__(lambda address: Pool(self, address))
-        self.reach, self.now, self.note = reach, now, note
+        self.reach, self.now, self.log_event = reach, now, log_event
         self.loop = asyncio.get_event_loop()
-        self.seat: Seat | None = None  # set once the seat is there
+        self.engine_host: EngineHost | None = None  # set once the seat is there
         self.idle: OrderedDict[Link, None] = OrderedDict()  # the one idle for longest first
         self.count = 0  # connections that are open or being made
         self.starved: dict[Pool, None] = {}  # with requests that wait, and no room for a connection; in order
@@ -104,7 +104,7 @@
     def __init__(self, links: Links, address: str) -> None:
         self.links, self.address = links, address
         self.idle: list[Link] = []  # the one used last goes out first, once it has rested
-        self.opening: set[Connecting] = set()
+        self.opening: set[PendingConnection] = set()
         self.waiting: deque[_Sent] = deque()
         self.heard = 0  # when anything last came from there
         self.retired = False
@@ -119,7 +119,7 @@
                 resting.append(link)
                 continue
             self.links.idle.pop(link, None)
-            if link.socket.quiet() and now - link.used < (self.links.trust.limit or 1 << 60):
+            if link.socket.nothing_to_read() and now - link.used < (self.links.trust.limit or 1 << 60):
                 found = link
             else:
                 link.close()
@@ -142,7 +142,7 @@
                 self.links.starved[self] = None
                 break
             self.links.count += 1
-            connecting = Connecting(
+            connecting = PendingConnection(
                 self.links.loop,
                 self.address,
                 self.links.reach.connect_timeout,
@@ -159,14 +159,14 @@
             self.released(link)
         self.open_more()
 
-    def _connected(self, connecting: Connecting, sock: socket.socket | None, why: str) -> None:
+    def _connected(self, connecting: PendingConnection, sock: socket.socket | None, why: str) -> None:
         self.opening.discard(connecting)
         if sock is not None:
             self.released(Link(self, sock))
             return
         self.links.count -= 1
         self.links.freed()
-        self.links.note("unconnected", level="debug", address=self.address, why=why)
+        self.links.log_event("unconnected", level="debug", address=self.address, why=why)
         while len(self.waiting) > len(self.opening) + len(self.idle):  # nobody else opens one for it
             self.waiting.popleft().unsent()
 
@@ -178,7 +178,7 @@
                 continue
             if not sent.still_goes():
                 sent.unsent(ours.OBSOLETE)
-            elif not link.socket.closed and link.socket.quiet():
+            elif not link.socket.closed and link.socket.nothing_to_read():
                 sent.go(link)
                 return
             else:
@@ -219,7 +219,7 @@
         self.pool, self.reader = pool, Answers()
         self.sent: _Sent | None = None
         self.used, self.idle = pool.links.now(), 0  # idle: for how long before its latest request
-        self.socket = Socket(pool.links.loop, sock, self)
+        self.socket = NonBlockingSocket(pool.links.loop, sock, self)
 
     def go(self, sent: _Sent, data: bytes) -> None:
         self.sent, self.idle = sent, self.pool.links.now() - self.used
@@ -238,7 +238,7 @@
         try:
             answer = self.reader.feed(data)
         except Malformed as error:
-            self.pool.links.note("bad_answer", address=self.pool.address, why=error.reason[:200])
+            self.pool.links.log_event("bad_answer", address=self.pool.address, why=error.reason[:200])
             self._lost(error.reason, ours.RESET)  # it has run, and may have been answered well
             return
         if answer is None:
@@ -368,20 +368,20 @@
         if self.call.gone():  # in the very turn in which the connection is ready
             self.links.loop.call_soon(self.call.leave)
             return False
-        return self.links.seat.leaves(self.dispatch)
+        return self.links.engine_host.may_send(self.dispatch)
 
     def answered(self, answer: Answer) -> None:
         if not self.over:
             self.done()
             how = names.outcome_of(answer)
-            self.links.seat.ended(
+            self.links.engine_host.dispatch_ended(
                 self.dispatch, how, None, ((), [answer.body], ()) if how == ours.SUCCEEDED else None
             )
 
     def lost(self, how: str) -> None:
         if not self.over:
             self.done()
-            self.links.seat.ended(self.dispatch, how)
+            self.links.engine_host.dispatch_ended(self.dispatch, how)
 
     def abandon(self, late: bool) -> None:
         if not self.over:
@@ -406,4 +406,4 @@
     def _tell(self, healthy: bool) -> None:
         if not self.over:
             self.done()
-            self.links.seat.probed(self.appliance, healthy, self.links.now() - self.began, None)
+            self.links.engine_host.probe_ended(self.appliance, healthy, self.links.now() - self.began, None)
--- a/cartweir/node/names.py
+++ b/cartweir/node/names.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .. import interface as ours
-from ..hosting.roster import Row
+from ..hosting.appliance_list import ListEntry
 from ..interface import Operation, Stage, Tally
 from .http1 import Answer
 
@@ -96,7 +96,7 @@
 
 def rows_of(
     entries: Any, now: int, read: Callable[[], float] = time.time
-) -> tuple[list[tuple[Row, str]], list[str]]:
+) -> tuple[list[tuple[ListEntry, str]], list[str]]:
     """Discovery's entries with their addresses, and those that can't be read: these say nothing, and what can't be read
     of another is as if it were not said. Starts are given in Unix time; ours count on the clock that says `now`. Raises
     ValueError where there is no list."""
@@ -122,7 +122,7 @@
         state = of("status", str)
         rows.append(
             (
-                Row(
+                ListEntry(
                     name,
                     of("release", int),
                     since,
--- a/cartweir/node/peers.py
+++ b/cartweir/node/peers.py
@@ -6,22 +6,29 @@
 import socket
 from collections.abc import Callable
 
-from ..hosting.seat import Seat
+from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import split_address
 
 MOST = 256  # bytes of a datagram
 DATAGRAMS_PER_TURN = 16  # read in one turn of the loop; the others wait in the kernel's buffer
 DATAGRAMS_PER_AGENT = 2  # that the buffers are sized for: its counts and a sum
 KERNEL_BYTES_PER_DATAGRAM = 1_536  # that the kernel charges to a buffer for a datagram of MOST bytes, at most
-Note = Callable[..., None]
+EventLogger = Callable[..., None]
 
 
 class Peers:
     """peers: addresses in the order of the agents' numbers."""
 
-    def __init__(self, seat: Seat, listen: str, peers: list[str], everyone: str | None, note: Note) -> None:
+    def __init__(
+        self,
+        engine_host: EngineHost,
+        listen: str,
+        peers: list[str],
+        everyone: str | None,
+        log_event: EventLogger,
+    ) -> None:
         """Raises OSError."""
-        self.seat, self.note = seat, note
+        self.engine_host, self.log_event = engine_host, log_event
         self._peers = [split_address(peer) for peer in peers]
         self._numbers = {peer: number for number, peer in enumerate(self._peers)}
         self._everyone = split_address(everyone) if everyone else None
@@ -48,13 +55,13 @@
         else:
             targets = self._peers[to : to + 1]
         if len(text) > MOST:
-            self.note("message_too_long", level="warning", bytes=len(text))
+            self.log_event("message_too_long", level="warning", bytes=len(text))
             return
         for target in targets:
             try:
                 self._socket.sendto(text, target)
             except OSError as error:
-                self.note("message_lost", level="debug", why=error.strerror)
+                self.log_event("message_lost", level="debug", why=error.strerror)
 
     def _readable(self) -> None:
         for _ in range(DATAGRAMS_PER_TURN):
@@ -63,12 +70,14 @@
             except OSError:  # nothing more, or the echo of a datagram that nobody took
                 return
             number = self._numbers.get(sender[:2])
-            if number is None or number == self.seat.settings["me"]:
+            if number is None or number == self.engine_host.settings["me"]:
                 continue
             if len(text) > MOST:  # its last figure may be cut
-                self.note("message_too_long", level="warning", sender=number)
+                self.log_event("message_too_long", level="warning", sender=number)
             else:
-                self.seat.told(number, [int(field) for field in text.split() if field.isdigit()])
+                self.engine_host.receive_message(
+                    number, [int(field) for field in text.split() if field.isdigit()]
+                )
 
     def close(self) -> None:
         asyncio.get_event_loop().remove_reader(self._socket.fileno())
--- a/cartweir/scale/agents.py
+++ b/cartweir/scale/agents.py
@@ -6,14 +6,22 @@
 import json
 from typing import Any
 
-from ..agent.news import TELL
+from ..agent.control_plane import PEER_MESSAGE_PATH
 from ..fleet.fencing import Fence, FencingToken
 from ..fleet.list_filter import ListFilter, ListVersion
 from ..interface import ON_TRIAL, RELEASED, SUCCEEDED, Stage
 from ..proto import agent_pb2 as pb
 from .meter import Meter, metering
 from .streams import UnaryCall
-from .surroundings import SECOND, RecordingWorld, row_of, seat_in, seat_with, server_name, settings
+from .surroundings import (
+    SECOND,
+    RecordingEnvironment,
+    make_engine_host,
+    make_engine_host_with,
+    row_of,
+    server_name,
+    settings,
+)
 from .workload import InMemory, Quantity
 
 REQUESTS = 20  # in one measured operation, as picks differ by chance
@@ -53,7 +61,7 @@
     def __init__(self, servers: int) -> None:
         """With all servers known."""
         super().__init__()
-        self.seat, _ = seat_with(servers)
+        self.engine_host, _ = make_engine_host_with(servers)
         self.servers, self.runs = servers, itertools.count(2)
 
     def operate(self, meter: Meter) -> None:
@@ -61,7 +69,7 @@
         run = next(self.runs)
         row = row_of(run % self.servers, run=run)
         with metering(meter):
-            self.seat.listed("changes", [row])
+            self.engine_host.apply_list("changes", [row])
 
 
 class FirstList(InMemory):
@@ -74,9 +82,9 @@
 
     def operate(self, meter: Meter) -> None:
         """A start."""
-        seat = seat_in(RecordingWorld(), stage=None)
+        engine_host = make_engine_host(RecordingEnvironment(), stage=None)
         with metering(meter):
-            seat.listed("cached", self.rows)
+            engine_host.apply_list("cached", self.rows)
 
 
 class WholeList(InMemory):
@@ -85,13 +93,13 @@
     def __init__(self, servers: int) -> None:
         """With all servers known."""
         super().__init__()
-        self.seat, _ = seat_with(servers)
+        self.engine_host, _ = make_engine_host_with(servers)
         self.rows = [row_of(number) for number in range(servers)]
 
     def operate(self, meter: Meter) -> None:
         """The list again."""
         with metering(meter):
-            self.seat.listed("whole", self.rows)
+            self.engine_host.apply_list("whole", self.rows)
 
 
 class StageRepeated(InMemory):
@@ -100,12 +108,12 @@
     def __init__(self, servers: int) -> None:
         """With all servers known."""
         super().__init__()
-        self.seat, _ = seat_with(servers)
+        self.engine_host, _ = make_engine_host_with(servers)
 
     def operate(self, meter: Meter) -> None:
         """The same stage."""
         with metering(meter):
-            self.seat.staged(Stage(1, 2, RELEASED, 1.0, 0))
+            self.engine_host.apply_stage(Stage(1, 2, RELEASED, 1.0, 0))
 
 
 class Requests(InMemory):
@@ -114,22 +122,24 @@
     def __init__(self, servers: int, trial_share: float) -> None:
         """With all servers known."""
         super().__init__()
-        self.seat, self.world = seat_with(servers, trial_share)
+        self.engine_host, self.environment = make_engine_host_with(servers, trial_share)
 
     def operate(self, meter: Meter) -> None:
         """A few requests, one after the other, 5 ms apart and each answered within 2 ms."""
         for _ in range(REQUESTS):
-            self.world.time += 3_000
+            self.environment.time += 3_000
             with metering(meter):
                 self._ask()
-            self.world.time += 2_000
+            self.environment.time += 2_000
             with metering(meter):
-                for dispatch in self.world.dispatches:
-                    self.seat.ended(dispatch, SUCCEEDED, answer=((), [], ()))
-            self.world.dispatches.clear()
+                for dispatch in self.environment.dispatches:
+                    self.engine_host.dispatch_ended(dispatch, SUCCEEDED, answer=((), [], ()))
+            self.environment.dispatches.clear()
 
     def _ask(self) -> None:
-        self.seat.take(AnsweredCall(), self.seat.operations["read"], self.world.time, 3 * SECOND)
+        self.engine_host.accept(
+            AnsweredCall(), self.engine_host.operations["read"], self.environment.time, 3 * SECOND
+        )
 
 
 class ListsRuling(InMemory):
@@ -195,22 +205,24 @@
         super().__init__()
         self.agents = agents
         self.me = 2 * 31 % agents  # as Agent.hub() has it for build 2 in the first two seconds
-        self.call = UnaryCall(TELL.decode())
+        self.call = UnaryCall(PEER_MESSAGE_PATH.decode())
 
     def operate(self, meter: Meter) -> None:
         """A round: each other agent's counts come in, the sum goes out."""
-        world = RecordingWorld()
-        seat = seat_in(world, Stage(2, 1, ON_TRIAL, 0.6, 0), agents=self.agents, me=self.me)
-        seat.listed("whole", (row_of(number, 1 + number % 2) for number in range(10)))
+        environment = RecordingEnvironment()
+        engine_host = make_engine_host(
+            environment, Stage(2, 1, ON_TRIAL, 0.6, 0), agents=self.agents, me=self.me
+        )
+        engine_host.apply_list("whole", (row_of(number, 1 + number % 2) for number in range(10)))
         figures = [2, *COUNTS]
         with metering(meter):
             for agent in range(self.agents):
                 if agent != self.me:
-                    seat.told(agent, figures)
-            world.time += LOOK
-            seat.alarm()
+                    engine_host.receive_message(agent, figures)
+            environment.time += LOOK
+            engine_host.run_timers()
         self.counts.add_message(self._bytes(figures), self.agents - 1)
-        for to, told in world.messages:
+        for to, told in environment.messages:
             self.counts.add_message(self._bytes(told), self.agents - 1 if to is None else 1)
 
     def _bytes(self, figures: list[int]) -> int:
--- a/cartweir/scale/node_lists.py
+++ b/cartweir/scale/node_lists.py
@@ -5,12 +5,20 @@
 import json
 from typing import Any
 
-from ..hosting.tcp import CHUNK
+from ..hosting.tcp import READ_SIZE
 from ..node import names
 from ..node.discovery import MAX_LIST_BYTES
 from ..node.jsonstream import JsonStream
 from .meter import Meter, metering
-from .surroundings import SECOND, RecordingWorld, address_of, released, seat_in, server_name, zone_of
+from .surroundings import (
+    SECOND,
+    RecordingEnvironment,
+    address_of,
+    make_engine_host,
+    released,
+    server_name,
+    zone_of,
+)
 from .workload import InMemory
 
 
@@ -43,15 +51,15 @@
         """The bytes are made once; data: made elsewhere."""
         super().__init__()
         self.data = data or platform_list(servers)
-        self.seat = seat_in(RecordingWorld(), released())
+        self.engine_host = make_engine_host(RecordingEnvironment(), released())
 
     def operate(self, meter: Meter) -> None:
         """In the pieces in which sockets are read."""
-        pieces = [self.data[at : at + CHUNK] for at in range(0, len(self.data), CHUNK)]
+        pieces = [self.data[at : at + READ_SIZE] for at in range(0, len(self.data), READ_SIZE)]
         self.counts.add_message(len(self.data))
         stream = JsonStream(max(MAX_LIST_BYTES, len(self.data)))
         with metering(meter):
             for piece in pieces:
                 for told in stream.feed(piece):
                     rows, _ = names.rows_of(told["endpoints"], SECOND)
-                    self.seat.listed("whole", [row for row, _ in rows])
+                    self.engine_host.apply_list("whole", [row for row, _ in rows])
--- a/cartweir/scale/registry_watch.py
+++ b/cartweir/scale/registry_watch.py
@@ -10,13 +10,21 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from ..agent.news import RegistryNews
+from ..agent.control_plane import RegistryClient
 from ..fleet.list_filter import ListFilter
-from ..hosting.waits import Waits
+from ..hosting.backoff import Backoff
 from ..interface import Appliance
 from ..proto import agent_pb2 as pb
 from .meter import Meter
-from .surroundings import SECOND, RecordingWorld, address_of, released, seat_in, server_name, zone_of
+from .surroundings import (
+    SECOND,
+    RecordingEnvironment,
+    address_of,
+    make_engine_host,
+    released,
+    server_name,
+    zone_of,
+)
 from .workload import Counts, Quantity
 
 
@@ -53,7 +61,7 @@
         """Without addresses."""
         self.addresses: dict[str, str] = {}
 
-    def listed(self, changed: list[Appliance]) -> None:
+    def retire_gone(self, changed: list[Appliance]) -> None:
         """No connection is open that would have to end."""
 
 
@@ -89,17 +97,17 @@
         self.loop.run_until_complete(self._begin(first or whole_list(servers)))
 
     async def _begin(self, first: bytes) -> None:
-        self.seat = seat_in(RecordingWorld(), released())
+        self.engine_host = make_engine_host(RecordingEnvironment(), released())
         self.channel = ScriptedChannel()
-        self.news = RegistryNews(
-            self.seat,
+        self.news = RegistryClient(
+            self.engine_host,
             AddressBook(),
             self.channel,
             pb.Hello(agent=0),
             True,
             SECOND,
-            Waits(1, 2, random.Random(1)),
-            self.seat.world.now,
+            Backoff(1, 2, random.Random(1)),
+            self.engine_host.environment.now,
             lambda event, **facts: None,
             str(self.file) if self.file else None,
             ListFilter(0.5, 15 * SECOND),
--- a/cartweir/scale/surroundings.py
+++ b/cartweir/scale/surroundings.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..hosting.known import known_from
-from ..hosting.roster import Row
-from ..hosting.seat import Seat
+from ..hosting.appliance_list import ListEntry
+from ..hosting.engine_host import EngineHost
+from ..hosting.platform_settings import parse_settings
 from ..interface import ON_TRIAL, RELEASED, Appliance, Dispatch, Stage
 
 SECOND = 1_000_000  # microseconds
@@ -29,9 +29,9 @@
     return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8443"
 
 
-def row_of(number: int, build: int = 1, run: int = 1) -> Row:
+def row_of(number: int, build: int = 1, run: int = 1) -> ListEntry:
     """An entry as the roster takes it."""
-    return Row(
+    return ListEntry(
         server_name(number), build, run, 0, zone=zone_of(number), cell=number % 7, kind="standard", weight=1.0
     )
 
@@ -39,7 +39,7 @@
 def settings(agents: int = 1, me: int = 0, **more: Any) -> dict[str, Any]:
     """The plain map of settings, as an agent's configuration gives it."""
     operation = {"name": "read", "effect": "retryable", "aim": 1_000, "hardLimit": 3_000}
-    return known_from(
+    return parse_settings(
         {
             "balancers": agents,
             "me": me,
@@ -57,7 +57,7 @@
     )
 
 
-class RecordingWorld:
+class RecordingEnvironment:
     """A seat's surroundings that carry nothing out: what would go over a socket is noted."""
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         """Stands still unless it is set."""
         return self.time
 
-    def start(self, dispatch: Dispatch, call: Any) -> RecordingWorld:
+    def start(self, dispatch: Dispatch, call: Any) -> RecordingEnvironment:
         """Nothing leaves."""
         self.dispatches.append(dispatch)
         return self
@@ -79,10 +79,10 @@
         """Nothing leaves."""
         self.messages.append((to, figures))
 
-    def alarm_at(self, due: int) -> None:
+    def schedule_alarm(self, due: int) -> None:
         """Time stands still."""
 
-    def soon(self, do: Callable[[], None]) -> None:
+    def run_soon(self, do: Callable[[], None]) -> None:
         """Nothing that is put off here changes what is measured."""
 
     def probe(self, appliance: Appliance) -> None:
@@ -97,7 +97,7 @@
     def fetch_list(self) -> None:
         """Nothing leaves."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Nothing is logged."""
 
     def abandon(self, late: bool) -> None:
@@ -109,17 +109,17 @@
     return Stage(1, 2, RELEASED, 1.0, 0)
 
 
-def seat_in(world: RecordingWorld, stage: Stage | None, **more: Any) -> Seat:
+def make_engine_host(environment: RecordingEnvironment, stage: Stage | None, **more: Any) -> EngineHost:
     """An agent's control state before its first list; stage: as controllers told it, None for not yet."""
-    seat = Seat(world, settings(**more), seed=1)
+    engine_host = EngineHost(environment, settings(**more), seed=1)
     if stage:
-        seat.staged(stage)
-    return seat
+        engine_host.apply_stage(stage)
+    return engine_host
 
 
-def seat_with(servers: int, trial_share: float = 0.0) -> tuple[Seat, RecordingWorld]:
+def make_engine_host_with(servers: int, trial_share: float = 0.0) -> tuple[EngineHost, RecordingEnvironment]:
     """An agent's control state that knows so many ready servers; a share of them runs a build on trial."""
-    world, trial = RecordingWorld(), round(servers * trial_share)
-    seat = seat_in(world, Stage(2, 1, ON_TRIAL, 0.6, 0) if trial else released())
-    seat.listed("whole", (row_of(number, 2 if number < trial else 1) for number in range(servers)))
-    return seat, world
+    environment, trial = RecordingEnvironment(), round(servers * trial_share)
+    engine_host = make_engine_host(environment, Stage(2, 1, ON_TRIAL, 0.6, 0) if trial else released())
+    engine_host.apply_list("whole", (row_of(number, 2 if number < trial else 1) for number in range(servers)))
+    return engine_host, environment
--- a/cartweir/standin/appliance.py
+++ b/cartweir/standin/appliance.py
@@ -12,7 +12,7 @@
 
 from tornado.iostream import IOStream
 
-from ..agent.names import AGENT_HEADER, LOAD, WORK
+from ..agent.grpc_mapping import AGENT_HEADER, LOAD, WORK
 from ..hosting.clock import monotonic
 from ..proto import agent_pb2 as pb
 from ..proto import health_pb2, orca_pb2
@@ -98,7 +98,7 @@
         self.holding = 0
         self._marks: dict[bytes, int] = {}
         self._sent: deque[tuple[int, int]] = deque()  # when and how much work came while cold
-        self.note: Any = lambda event, **facts: None
+        self.log_event: Any = lambda event, **facts: None
         self.fleet: Any = None  # where it stands
         self.on_wrong: Any = None  # called with agent, operation and self when an answer was wrong
         self.handlers["/grpc.health.v1.Health/Check"] = self._check
@@ -124,7 +124,7 @@
             > make.fall_multiple * warmth * make.cores * make.speed * make.fall_time
         ):
             self.fell = True
-            self.note("fell", ident=self.ident)
+            self.log_event("fell", ident=self.ident)
             self.silence()
 
     # ---- calls ----
@@ -216,7 +216,7 @@
             setattr(self.faults, what, float(value))
         else:
             raise ValueError(f"no fault {what!r}: one of pause, silence, restart, {', '.join(names)} is due")
-        self.note("fault", who=self.ident, what=what, value=value)
+        self.log_event("fault", who=self.ident, what=what, value=value)
 
     def silence(self) -> None:
         """No reset, no answer, until stopped."""
@@ -238,7 +238,7 @@
     qualities: dict[int, Quality] = field(default_factory=dict)
     machines: dict[str, Appliance] = field(default_factory=dict)
     on_wrong: Any = None
-    note: Any = print  # called with facts about machines that no socket shows
+    log_event: Any = print  # called with facts about machines that no socket shows
     count: int = 0
 
     def launch(self, build: int, warm: bool = False, ident: str | None = None) -> Appliance:
@@ -255,13 +255,13 @@
             warm,
             self.tap,
         )
-        machine.on_wrong, machine.note, machine.fleet = self.on_wrong, self.note, self
+        machine.on_wrong, machine.log_event, machine.fleet = self.on_wrong, self.log_event, self
         machine.address = machine.listen_on("127.0.0.1:0")
         self.machines[ident] = machine
         if not warm:
             machine.started = monotonic()
         make = self.make
-        self.note(
+        self.log_event(
             "machine",
             ident=ident,
             address=machine.address,
@@ -298,7 +298,7 @@
     def stop(self, machine: Appliance) -> None:
         if self.machines.pop(machine.ident, None) is not None:
             self.enter(machine, pb.GONE)
-            self.note("stopped", ident=machine.ident)
+            self.log_event("stopped", ident=machine.ident)
             machine.silence()
             machine.shut()
 
--- a/cartweir/standin/clients.py
+++ b/cartweir/standin/clients.py
@@ -9,7 +9,7 @@
 from itertools import accumulate
 from typing import Any
 
-from ..agent.names import ANSWER, CUSTOMER, KEY, RETRY, WORK
+from ..agent.grpc_mapping import ANSWER, CUSTOMER, KEY, RETRY, WORK
 from ..audit.decode import ATTEMPT_HEADER
 from ..hosting.clock import monotonic
 from ..wire import grpc
--- a/cartweir/standin/conveyor.py
+++ b/cartweir/standin/conveyor.py
@@ -34,7 +34,7 @@
         fleet: Fleet,
         release: ReleaseSection,
         agents: int,
-        note: Any,
+        log_event: Any,
         *,
         bake: int = 1_000_000,
         step: int = 3_500_000,
@@ -44,7 +44,7 @@
         tap: Tap | None = None,
     ) -> None:
         super().__init__(tap=tap)
-        self.fleet, self.release, self.agents, self.note = fleet, release, agents, note
+        self.fleet, self.release, self.agents, self.log_event = fleet, release, agents, log_event
         self.bake, self.step, self.grace, self.late, self.repeat = bake, step, grace, late, repeat
         self.answering = True  # votes get an answer
         self.build, self.number, self.phase, self.since = (
@@ -86,7 +86,7 @@
 
     def _enter(self, number: int, phase: int) -> None:
         self.number, self.phase, self.since, self._clock = number, phase, monotonic(), None
-        self.note("stage", build=self.build, number=number, phase=pb.Phase.Name(phase))
+        self.log_event("stage", build=self.build, number=number, phase=pb.Phase.Name(phase))
         asyncio.get_running_loop().call_later(self.late / 1e6, self._tell)
 
     # ---- votes ----
@@ -112,7 +112,7 @@
                 ballot.build, ballot.stage, ballot.choice, now + self.release.vote_life
             )
         self._asked.append(now)
-        self.note(
+        self.log_event(
             "vote",
             agent=ballot.agent,
             build=ballot.build,
--- a/cartweir/standin/day.py
+++ b/cartweir/standin/day.py
@@ -133,7 +133,7 @@
         return SETTINGS.format(agents=self.agents, cores=self.cores, tick=self.tick, **of_agent)
 
     # ---- facts ----
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         if self._facts.closed:
             return  # a machine that is stopped behind the day's end
         self._facts.write(json.dumps({"event": event, "time": monotonic(), **facts}) + "\n")
@@ -153,7 +153,7 @@
         tap = FileTap(self.folder / "field.tap")
         self.registry = Registry(late=self.registry_late, tap=tap)
         registry = self.registry.listen_on("127.0.0.1:0")
-        self.fleet = Fleet(self.registry, self.make, self.chance, tap, self.zones, note=self.note)
+        self.fleet = Fleet(self.registry, self.make, self.chance, tap, self.zones, log_event=self.log_event)
         self.fleet.on_wrong = self._wrong
         for _ in range(self.count):
             self.fleet.launch(1, warm=True)
@@ -190,7 +190,7 @@
         )
         (self.folder / "agent0.ini").write_text(text)
         release = read_agent(self.folder / "agent0.ini").release
-        self.conveyor = Conveyor(self.fleet, release, self.agents, self.note, tap=tap)
+        self.conveyor = Conveyor(self.fleet, release, self.agents, self.log_event, tap=tap)
         return self.conveyor.listen_on("127.0.0.1:0")
 
     async def _start_agent(self, me: int) -> None:
@@ -251,17 +251,17 @@
 
         def wake() -> None:
             give(signal.SIGCONT)
-            self.note("part_stopped", **facts, since=since, until=monotonic())
+            self.log_event("part_stopped", **facts, since=since, until=monotonic())
 
         give(signal.SIGSTOP if stopped else signal.SIGKILL)
         if stopped:
             asyncio.get_running_loop().call_later(stopped, wake)
         else:
-            self.note("part_killed", **facts)
+            self.log_event("part_killed", **facts)
 
     async def _kill(self, me: int, down: float, loses: tuple[str, ...] = ()) -> None:
         """And started again so many seconds later, without those of its files."""
-        self.note("killed", agent=me, tap=f"agent{me}-{self._lives[me]}.tap", loses=loses)
+        self.log_event("killed", agent=me, tap=f"agent{me}-{self._lives[me]}.tap", loses=loses)
         self.running[me].kill()
         await self.running[me].wait()
         for kind in loses:
@@ -373,7 +373,7 @@
             cwd=Path(__file__).parents[2],
         )
         out, _ = await process.communicate()
-        self.note("clients", seed=seed, counts=out.decode().strip())
+        self.log_event("clients", seed=seed, counts=out.decode().strip())
 
     async def _stop_all(self) -> None:
         for process in self.running.values():
--- a/cartweir/wire/link.py
+++ b/cartweir/wire/link.py
@@ -9,7 +9,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError, UnsatisfiableReadError
 
-from ..hosting.tcp import CHUNK
+from ..hosting.tcp import READ_SIZE
 from .grpc import Headers
 from .session import Limits, Listener, Session, Stream
 
@@ -67,7 +67,7 @@
             while not self._closed:
                 if self._paused is not None:
                     await self._paused.wait()
-                data = await self._stream.read_bytes(CHUNK, partial=True)
+                data = await self._stream.read_bytes(READ_SIZE, partial=True)
                 if self._closed:
                     return
                 if self._tap:
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import Any
 
-from cartweir.hosting.known import known_from
+from cartweir.hosting.platform_settings import parse_settings
 from cartweir.node.config import Config
 from cartweir.node.daemon import Daemon
 
@@ -310,13 +310,13 @@
         desk.address,
         news or RELEASED,
         {"index": 1, "snapshot": True, "endpoints": endpoints},
-        known_from(settings),
+        parse_settings(settings),
     )
     daemon = Daemon(config, lambda: config)
     notes: list[tuple[str, dict[str, Any]]] = []
-    daemon.note = lambda event, level="info", **facts: notes.append((event, facts))
+    daemon.log_event = lambda event, level="info", **facts: notes.append((event, facts))
     for part in (daemon.front, daemon.links, daemon.discovery, daemon.desk):
-        part.note = daemon.note
+        part.log_event = daemon.log_event
     it = Ground(daemon, daemon.start_up(), discovery, desk, list(appliances), notes)
     try:
         yield it
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -14,9 +14,9 @@
 from peers import Appliance, Client, Log, settings
 from tornado.ioloop import IOLoop
 
-from cartweir.agent.daemon import bounds_of, methods_of, operations_of, reach_of
+from cartweir.agent.appliance_pools import AppliancePools
+from cartweir.agent.daemon import appliance_options, build_operations, front_limits, operations_by_path
 from cartweir.agent.front import Front
-from cartweir.agent.links import Links
 from cartweir.cores.book import Book, new_files
 from cartweir.cores.decider import Decider
 from cartweir.cores.desk import Desk
@@ -54,25 +54,32 @@
     """A carrying part without its process."""
 
     def __init__(self, number: int, document: Any, log: Log) -> None:
-        def note(event: str, level: str = "info", **facts: Any) -> None:
+        def log_event(event: str, level: str = "info", **facts: Any) -> None:
             getattr(log, level)(event, part=number, **facts)
 
         self.number = number
         self.clock = Clock(document.agent.heartbeat)
-        self.links = Links(reach_of(document, document.agent.cores), self.clock.now, note)
-        decision_settings = {**document.decision_settings(), "operations": operations_of(document)}
-        self.desk = self.links.seat = Desk(
+        self.appliance_pools = AppliancePools(
+            appliance_options(document, document.agent.cores), self.clock.now, log_event
+        )
+        decision_settings = {**document.decision_settings(), "operations": build_operations(document)}
+        self.desk = self.appliance_pools.engine_host = Desk(
             number,
             document.agent.cores,
             decision_settings,
             self.clock,
-            self.links,
-            note,
+            self.appliance_pools,
+            log_event,
             itertools.count(number * LIVES),
             number,
         )
         self.front = Front(
-            self.desk, methods_of(document, self.desk.operations), bounds_of(document), self.clock, note, {}
+            self.desk,
+            operations_by_path(document, self.desk.operations),
+            front_limits(document),
+            self.clock,
+            log_event,
+            {},
         )
         self.address = self.front.listen("127.0.0.1:0")
         self._beat()
@@ -105,7 +112,7 @@
         for link in list(self.front.links):
             link._stream.close()
         self.front.drain()
-        self.links.close()
+        self.appliance_pools.close()
 
 
 class Parts:
@@ -151,12 +158,12 @@
             member.pipe._lost = lambda: None
             member.pipe.close()
         old.members.clear()
-        old.alarms.ring = lambda: None
+        old.alarms.callback = lambda: None
         old._beat = lambda: None
         for channel in (old.registry.channel, *old.conveyor.channels):
             channel.close()
-        old.seat.listed = lambda *_: []
-        old.seat.staged = lambda *_: None
+        old.engine_host.apply_list = lambda *_: []
+        old.engine_host.apply_stage = lambda *_: None
 
     @property
     def book(self) -> Book:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -36,12 +36,14 @@
     multiple = 1.0 if what is cold else 4.0  # overload alone must not hide the one that loves the cold
     facts = []
 
-    def note(event, **more):
+    def log_event(event, **more):
         facts.append(json.dumps({"event": event, "time": monotonic(), **more}) + "\n")
 
     tap, chance = FileTap(folder / "field.tap"), random.Random(3)
     registry = Registry(tap=tap)
-    fleet = Fleet(registry, Make(cores=3, boot_time=0, fall_multiple=multiple), chance, tap, note=note)
+    fleet = Fleet(
+        registry, Make(cores=3, boot_time=0, fall_multiple=multiple), chance, tap, log_event=log_event
+    )
     machines = [fleet.launch(1, warm=True) for _ in range(4)]
     spare = Registry()
     conveyor_address = spare.listen_on("127.0.0.1:0")
@@ -66,7 +68,7 @@
         text = text.replace(old, new)
     (folder / "agent0.ini").write_text(text)
     document = read_agent(folder / "agent0.ini")
-    conveyor = Conveyor(fleet, document.release, 1, note, late=50_000, tap=tap)
+    conveyor = Conveyor(fleet, document.release, 1, log_event, late=50_000, tap=tap)
     conveyor.listen_on(conveyor_address)
     log = Log()
     daemon = Daemon(document, log, FileTap(folder / "agent0-1.tap"))
@@ -78,7 +80,7 @@
     asyncio.get_running_loop().call_later(0.8, what, fleet, conveyor, machines)
     await load.run(seconds)
     load.close()
-    daemon.signalled()
+    daemon.on_signal()
     await daemon.ended.wait()
     registry.shut()
     conveyor.shut()
@@ -113,25 +115,29 @@
 
 # ---- agents broken on purpose ----
 def never_throttles(daemon):
-    daemon.seat.throttle = lambda invocation, retry_after: daemon.seat.calls.pop(invocation, None)
+    daemon.engine_host.throttle = lambda invocation, retry_after: daemon.engine_host.calls.pop(
+        invocation, None
+    )
 
 
 def repeats_anything(daemon):
-    daemon.seat.engine.agent.may_repeat = lambda invocation, appliance: True
+    daemon.engine_host.engine.agent.may_repeat = lambda invocation, appliance: True
 
 
 def hears_of_no_drain(daemon):
-    listed = daemon.seat.listed
-    daemon.seat.listed = lambda how, rows=(): listed(how, [row for row in rows if row.state == "ready"])
+    listed = daemon.engine_host.apply_list
+    daemon.engine_host.apply_list = lambda how, rows=(): listed(
+        how, [row for row in rows if row.state == "ready"]
+    )
 
 
 def loves_the_cold(daemon):
-    agent = daemon.seat.engine.agent
+    agent = daemon.engine_host.engine.agent
     agent.warm_up = lambda: setattr(agent, "cold_credit", 1e9)
 
 
 def knows_no_cap(daemon):
-    for exposure in daemon.seat.engine.agent.exposure_budgets.values():
+    for exposure in daemon.engine_host.engine.agent.exposure_budgets.values():
         exposure.room = lambda now, cap: True
 
 
@@ -141,7 +147,7 @@
 
 
 def forgets_keys(daemon):
-    agent = daemon.seat.engine.agent
+    agent = daemon.engine_host.engine.agent
     agent.bound_keys = Forgetful()
     staged = agent.on_stage
     agent.on_stage = lambda stage: (staged(stage), setattr(agent, "bound_keys", Forgetful()))
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -77,10 +77,13 @@
     )
     daemon = Daemon(config.read({"EDGE_CONFIG": str(file)}))
     heard = Heard(0)
-    daemon.peers.seat = heard
+    daemon.peers.engine_host = heard
     address = daemon.start_up()
     try:
-        assert len(daemon.seat.roster.appliances) == SERVERS and daemon.seat.settings["agents"] == AGENTS
+        assert (
+            len(daemon.engine_host.appliance_list.appliances) == SERVERS
+            and daemon.engine_host.settings["agents"] == AGENTS
+        )
         while daemon.discovery.version != 1:  # the watch has told the same list
             await asyncio.sleep(0.005)
         client = Client(*await asyncio.open_connection(*address.split(":")))
@@ -107,7 +110,7 @@
     async with ground(Appliance()) as it:
         await it.noted("list")
         it.discovery.tell(*entries(it.appliances[0], note="x" * 4_000))
-        while len(it.daemon.seat.roster.appliances) < SERVERS:
+        while len(it.daemon.engine_host.appliance_list.appliances) < SERVERS:
             assert not [facts["why"] for event, facts in it.notes if event == "discovery_lost"]
             await asyncio.sleep(0.005)
         assert (await (await it.client()).say(ask("a")))[0] == 200
@@ -130,7 +133,10 @@
         while it.daemon.discovery.version != 2:
             assert not [facts["why"] for event, facts in it.notes if event == "fetch_failed"]
             await asyncio.sleep(0.005)
-        assert sum(a.state == "ready" for a in it.daemon.seat.roster.appliances.values()) == SERVERS
+        assert (
+            sum(a.state == "ready" for a in it.daemon.engine_host.appliance_list.appliances.values())
+            == SERVERS
+        )
         whole.stop()
 
 
@@ -145,10 +151,10 @@
             clients[number].writer.write(ask(f"held-{number}"))
         await held.got(2)
         it.discovery.tell(entry("s0", held, status="draining"), entry("free", free))
-        while "free" not in it.daemon.seat.roster.appliances:
+        while "free" not in it.daemon.engine_host.appliance_list.appliances:
             await asyncio.sleep(0.005)
         clients[2].writer.write(ask("waits"))
-        while not any(pool.waiting for pool in it.daemon.links.pools.values()):
+        while not any(pool.waiting for pool in it.daemon.appliance_pools.pools.values()):
             await asyncio.sleep(0.005)
         held.go.set()
         assert (await clients[2].hear())[::2] == (200, b"made for waits")
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -151,7 +151,7 @@
         client.leave(got)
         (hit,) = [a for a in it.appliances if a.requests]
         await hit.reset.wait()
-        assert hit.resets == [(1, 8)] and it.dispatched == 1 and not it.daemon.seat.calls
+        assert hit.resets == [(1, 8)] and it.dispatched == 1 and not it.daemon.engine_host.calls
 
 
 @sockets
@@ -199,7 +199,7 @@
             done += [(got.status, got.ends, got.reset) for got in batch]
         kinds = {kind: done.count(kind) for kind in set(done)}
         assert set(kinds) <= {("0", 1, None), ("8", 1, None)} and kinds[("0", 1, None)] > 1_000
-        assert not it.daemon.seat.calls and not it.daemon.seat.attempts
+        assert not it.daemon.engine_host.calls and not it.daemon.engine_host.attempts
 
 
 @sockets
@@ -357,7 +357,7 @@
         await got.done.wait()
         assert got.ends == 1 and got.tail["cartweir-answer"] == "throttled"
         assert len(it.appliances[0].bodies[1]) <= 65_535
-        assert not it.daemon.seat.calls and not it.daemon.seat.attempts
+        assert not it.daemon.engine_host.calls and not it.daemon.engine_host.attempts
 
 
 @sockets
@@ -411,7 +411,7 @@
 
     async with rig(tmp_path, mute) as it:
         assert (await ask(it, ISSUE, timeout="300m")).tail["cartweir-answer"] == "terminated"
-        pool = next(iter(it.daemon.links.pools.values()))
+        pool = next(iter(it.daemon.appliance_pools.pools.values()))
         while pool.open and not pool.open[0].suspect:
             await asyncio.sleep(0.01)
         assert (await ask(it, ISSUE)).status == "0"
@@ -464,7 +464,7 @@
         await it.log.next("list")
         client = await it.client()
         got = client.call(ISSUE, timeout="1S")
-        while not it.daemon.seat.attempts:
+        while not it.daemon.engine_host.attempts:
             await asyncio.sleep(0)
         it.set(slow, pb.DRAINING)
         await it.log.next("list")
@@ -488,7 +488,7 @@
                 await ask(it)
             left = await it.client()
             left.leave(left.call(VIEW))
-            while it.daemon.seat.calls or it.daemon.seat.attempts:
+            while it.daemon.engine_host.calls or it.daemon.engine_host.attempts:
                 await asyncio.sleep(0.002)
             await asyncio.sleep(0.1)  # a heartbeat: answers are seen to have gone
             gc.set_debug(gc.DEBUG_SAVEALL)
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -18,7 +18,7 @@
 from test_calls import sockets
 from test_processes import Offering, end, world
 
-from cartweir.agent.keep import BOOT, Keep
+from cartweir.agent.key_journal_file import BOOT_ID_FILE, KeyJournalFile
 from cartweir.faults.comeback import Scene, play
 from cartweir.faults.rig import Rig, Scale, free_ports
 from cartweir.fleet.fencing import FencingToken
@@ -416,7 +416,9 @@
         case "garbled":
             facts.write_bytes(data[:40] + bytes([data[40] ^ 1]) + data[41:])
         case "another's":
-            Keep(str(tmp_path / "other"), "agent 5 of 6", FencingToken(3, 9), lambda *a, **f: None, 1 << 20)
+            KeyJournalFile(
+                str(tmp_path / "other"), "agent 5 of 6", FencingToken(3, 9), lambda *a, **f: None, 1 << 20
+            )
             facts.write_bytes((tmp_path / "other").read_bytes())
         case "an older copy":
             (tmp_path / "stage").write_text(json.dumps({"epoch": 3, "index": 10}))
@@ -535,20 +537,20 @@
 
 
 def boot():
-    return BOOT.read_text().strip()
+    return BOOT_ID_FILE.read_text().strip()
 
 
 BIND = """
 import sys
-from cartweir.agent.keep import BOOT, Keep
-keep = Keep(sys.argv[1], "me", (1, 1), lambda *a, **f: None, 1 << 20)
+from cartweir.agent.key_journal_file import BOOT_ID_FILE, KeyJournalFile
+keep = KeyJournalFile(sys.argv[1], "me", (1, 1), lambda *a, **f: None, 1 << 20)
 number = len(keep.recalled.bound)
 while True:
-    keep.bind("k%d" % number, 2)
+    keep.record_binding("k%d" % number, 2)
     number += 1
     print(number, flush=True)
     if number % 7 == 0:
-        keep.decided((1, 1 + number), 2)
+        keep.record_decision((1, 1 + number), 2)
 """
 
 
@@ -580,19 +582,19 @@
 
 FULL = """
 import json, resource, signal, sys
-from cartweir.agent.keep import BOOT, Keep
+from cartweir.agent.key_journal_file import BOOT_ID_FILE, KeyJournalFile
 said, size = [], int(sys.argv[2])
 room = lambda most: resource.setrlimit(resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
 if sys.argv[3] == "from the start":
     room(size)
-keep = Keep(sys.argv[1], "me", (1, 1), lambda e, **f: said.append(e), 1 << 20)
+keep = KeyJournalFile(sys.argv[1], "me", (1, 1), lambda e, **f: said.append(e), 1 << 20)
 room(size)
 for n in range(200):
-    keep.bind("k%d" % n, 2)
+    keep.record_binding("k%d" % n, 2)
 room(resource.RLIM_INFINITY)                 # the disk has room again
-keep.bind("one more", 2)
+keep.record_binding("one more", 2)
 if sys.argv[3] == "mended":
-    keep.decided((1, 2), 2)
+    keep.record_decision((1, 2), 2)
 print(json.dumps(said))
 """
 
--- a/tests/test_news.py
+++ b/tests/test_control_plane.py
@@ -9,9 +9,9 @@
 from test_calls import ask, sockets
 from test_processes import Offering
 
+from cartweir.agent.control_plane import write_atomically
 from cartweir.agent.daemon import Daemon
-from cartweir.agent.names import load_of
-from cartweir.agent.news import write_whole
+from cartweir.agent.grpc_mapping import load_of
 from cartweir.proto import agent_pb2 as pb
 from cartweir.proto import orca_pb2
 from cartweir.settings.ini import read_agent
@@ -60,8 +60,8 @@
             )
             logs.append(Log())
             daemon = Daemon(read_agent(file), logs[-1])
-            told = daemon.seat.told
-            daemon.seat.told = lambda sender, figures, me=me, told=told: (
+            told = daemon.engine_host.receive_message
+            daemon.engine_host.receive_message = lambda sender, figures, me=me, told=told: (
                 heard[me].append((sender, figures)),
                 told(sender, figures),
             )
@@ -97,7 +97,7 @@
     async with rig(tmp_path, answer) as it:
         daemon, fired, real = it.daemon, asyncio.Event(), it.daemon.clock.now
         due = real() + 20_000
-        daemon.seat.engine.call_at(due, fired.set)
+        daemon.engine_host.engine.call_at(due, fired.set)
         alarms, early = daemon.alarms, []
         fire = alarms._fire
 
@@ -112,7 +112,7 @@
 
         daemon.loop.remove_timeout(alarms._next[1])
         alarms._fire, alarms._next, alarms._dues = first_early, None, []
-        daemon.alarm_at(due)
+        daemon.schedule_alarm(due)
         await asyncio.wait_for(fired.wait(), 5)
         assert early
 
@@ -120,11 +120,11 @@
 @sockets
 async def test_an_alarm_that_an_event_has_forestalled_does_not_take_the_next_with_it(tmp_path):
     async with rig(tmp_path, answer) as it:
-        engine, now, fired = it.daemon.seat.engine, it.daemon.clock.now(), asyncio.Event()
+        engine, now, fired = it.daemon.engine_host.engine, it.daemon.clock.now(), asyncio.Event()
         engine.call_at(now + 1000, lambda: engine.call_at(now + 40_000, fired.set))
         while it.daemon.clock.now() < now + 1000:
             pass
-        it.daemon.seat.enter()  # an event comes before the alarm's turn
+        it.daemon.engine_host.catch_up()  # an event comes before the alarm's turn
         await asyncio.wait_for(fired.wait(), 5)
 
 
@@ -150,5 +150,5 @@
     )
     monkeypatch.setattr(os, "replace", lambda a, b: (done.append("replaced"), replace(a, b)))
     (folder := tmp_path / "kept").mkdir()
-    write_whole(folder / "stage", "new")
+    write_atomically(folder / "stage", "new")
     assert done == ["stage.part", "replaced", "kept"] and (folder / "stage").read_text() == "new"
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -56,10 +56,12 @@
     go = asyncio.Event()
     async with parts(tmp_path, *[when(go)] * 4, cores=3, wire="") as it:
         client = await it.client(1)
-        it.decider.seat.engine.agent.concurrency_limit = 200.0
+        it.decider.engine_host.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for _ in range(60)]
         await until(lambda: sum(len(a.requests) for a in it.appliances) == 60)
-        used = {part.number for part in it.parts if any(pool.open for pool in part.links.pools.values())}
+        used = {
+            part.number for part in it.parts if any(pool.open for pool in part.appliance_pools.pools.values())
+        }
         assert used == {1, 2, 3}
         go.set()
         await finish(*calls)
@@ -70,7 +72,7 @@
 async def test_parts_together_keep_to_the_connections_of_an_appliance(tmp_path):
     go = asyncio.Event()
     async with parts(tmp_path, when(go), when(go), cores=3, appliances="connections = 1") as it:
-        it.decider.seat.engine.agent.concurrency_limit = 200.0
+        it.decider.engine_host.engine.agent.concurrency_limit = 200.0
         calls = [(await it.client(part)).call(VIEW) for part in (1, 2, 3) for _ in range(8)]
         await until(lambda: sum(len(a.requests) for a in it.appliances) == 24)
         assert [len(a.peers) for a in it.appliances] == [1, 1]
@@ -102,7 +104,7 @@
         call = client.call(VIEW, timeout="1S")
         await until(lambda: it.book.exposures())  # granted, written down, and not heard
         it.conveyor.tell(2, 0, pb.GOING_BACK, 0.0)
-        await until(lambda: it.decider.seat.engine.agent.stage.cap == 0.0)
+        await until(lambda: it.decider.engine_host.engine.agent.stage.cap == 0.0)
         await asyncio.sleep(0.03)  # the grant is older than a tick
         part.hears()
         await finish(call)
@@ -120,7 +122,7 @@
         part.hears()
         await finish(call)
         assert call.status == "0" and len(it.appliances[0].requests) == 1
-        sends = it.decider.seat.engine.agent.exposure_budgets[it.decider.operations[0]].sends
+        sends = it.decider.engine_host.engine.agent.exposure_budgets[it.decider.operations[0]].sends
         (first, _), (second, _) = it.book.exposures()
         assert second > first + 40_000 and [send[0] for send in sends] == [second]
 
@@ -137,9 +139,9 @@
         )
         for appliance in it.appliances:
             it.set(appliance, pb.DRAINING)
-        await until(lambda: not it.decider.seat.engine.agent.fleet)
+        await until(lambda: not it.decider.engine_host.engine.agent.fleet)
         third = await it.add(answer)
-        await until(lambda: it.decider.seat.engine.agent.fleet)
+        await until(lambda: it.decider.engine_host.engine.agent.fleet)
         await asyncio.sleep(0.03)
         part.hears()
         await finish(*calls)
@@ -177,26 +179,26 @@
         while len(it.appliances[2].requests) < 3:
             await finish(client.call(VIEW))
         await asyncio.sleep(0.12)  # a beat later it is written down
-        worst = it.decider.seat.engine.agent.evidence.strongest()
+        worst = it.decider.engine_host.engine.agent.evidence.strongest()
         before, told = worst.log_ratio(), str(worst)
         assert before > 0.5
         it.decider_ends()
         it.decide()
-        after = it.decider.seat.engine.agent.evidence.strongest()
+        after = it.decider.engine_host.engine.agent.evidence.strongest()
         assert (after.log_ratio(), str(after)) == (before, told)
 
 
 @sockets
 async def test_a_vote_is_not_cast_again_by_whoever_decides_next(tmp_path):
     async with parts(tmp_path, answer, (answer, 2), stage=TRIAL, cores=2) as it:
-        agent = it.decider.seat.engine.agent
+        agent = it.decider.engine_host.engine.agent
         agent.is_voter = True
         agent.plan("on")
         await until(lambda: it.log.of("vote"))
         await asyncio.sleep(0.1)
         it.decider_ends()
         it.decide()
-        agent = it.decider.seat.engine.agent
+        agent = it.decider.engine_host.engine.agent
         assert agent.is_voter and agent.current_vote == (2, 0, "on")
 
 
@@ -244,13 +246,13 @@
         other = next(a for a in it.appliances if a is not far)
         far.act, other.act = nothing, answer
         it.set(other, pb.DRAINING)
-        await until(lambda: len(it.decider.seat.engine.agent.fleet) == 1)
+        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 1)
         client = await it.client(1)
         calls = [client.call(ISSUE), client.call(VIEW)]
         await until(lambda: len(far.requests) == 2)
         other.entry.run = 2
         it.set(other, pb.READY)
-        await until(lambda: len(it.decider.seat.engine.agent.fleet) == 2)
+        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 2)
         it.parts[1].end()
         await finish(*calls)
         assert calls[0].tail["cartweir-answer"] == "terminated"
@@ -269,7 +271,7 @@
         it.parts[0].end()
         await asyncio.wait_for(far.reset.wait(), 5)
         await until(lambda: not it.parts[1].desk.lending.carried and 1 not in it.decider.members)
-        assert it.decider.seat.engine.agent.open_dispatches == 0 and not it.decider.seat.calls
+        assert it.decider.engine_host.engine.agent.open_dispatches == 0 and not it.decider.engine_host.calls
 
 
 @sockets
@@ -351,8 +353,8 @@
             assert call.status == "0"
         it.decide()
         old = await it.add(answer, build=1)
-        await until(lambda: len(it.decider.seat.engine.agent.fleet) == 2)
-        assert it.decider.seat.engine.agent.bound_keys == {"k1": 2}
+        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 2)
+        assert it.decider.engine_host.engine.agent.bound_keys == {"k1": 2}
         client = await it.client(2)
         await finish(*[client.call(VIEW, cartweir_key="k1", timeout="1S") for _ in range(6)])
         assert not old.requests
@@ -376,7 +378,7 @@
         pipe = holder.desk.lending.pipes[carrier]
         pipe._loop.remove_handler(pipe._sock)
         call = (await it.client(holder.number)).call(VIEW, cartweir_key="k1", timeout="1S")
-        await until(lambda: it.decider.seat.engine.agent.bound_keys == {"k1": 2})
+        await until(lambda: it.decider.engine_host.engine.agent.bound_keys == {"k1": 2})
         assert not call.done.is_set()
         pipe._loop.add_handler(pipe._sock, pipe._event, 1)
         assert (await finish(call)).status == "0"
@@ -390,8 +392,8 @@
         desk, member = it.parts[0].desk, it.decider.members[1]
         await it.knows(lambda desk: len(desk.appliances) == 2)
         it.set(old, pb.DRAINING)  # not for the decisions; the part may meet it
-        await until(lambda: len(it.decider.seat.engine.agent.fleet) == 1)
-        desk.roster.appliances[old.name].state = "ready"
+        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 1)
+        desk.appliance_list.appliances[old.name].state = "ready"
         heard, held = member.pipe._heard, []
         member.pipe._heard = held.append
         call = (await it.client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
@@ -406,7 +408,7 @@
                 say.DISPATCH,
                 invocation_id,
                 1,
-                desk.marks[desk.roster.appliances[old.name]],
+                desk.marks[desk.appliance_list.appliances[old.name]],
                 500_000,
                 desk.clock.now(),
                 0,
@@ -437,15 +439,15 @@
         go.set()
         await until(lambda: any(case.answers for case in desk.cases.values()))
         (invocation,) = member.invocations.values()
-        it.decider.seat.throttle(invocation, 0)
-        it.decider.seat.cancel(invocation.dispatches[0])
+        it.decider.engine_host.throttle(invocation, 0)
+        it.decider.engine_host.cancel(invocation.dispatches[0])
         await until(lambda: invocation.dispatches[0].result if invocation.dispatches else True)
         await until(lambda: any(message[0] == say.ENDED for message in held))
         member.pipe._heard = heard
         while held:
             heard(held.pop(0))
         assert (await finish(call)).status == "0" and call.ends == 1
-        assert it.decider.seat.engine.agent.bound_keys == {"k1": 2}
+        assert it.decider.engine_host.engine.agent.bound_keys == {"k1": 2}
 
 
 def test_an_answer_that_comes_as_it_is_given_up_on_is_given_and_binds(tmp_path, keys_go_one_way):
@@ -465,7 +467,7 @@
         await it.knows(lambda desk: len(desk.appliances) == 3)
         for part in it.parts:  # it has started just now, and none is cold in these settings but by
             part.desk.settings = {**part.desk.settings, "cold_share": 0.3, "warm_time": 60_000_000}
-            part.desk.roster.appliances[cold.name].started = part.clock.now()
+            part.desk.appliance_list.appliances[cold.name].started = part.clock.now()
         it.decider_ends()
         await until(lambda: all(part.desk.silence.alone for part in it.parts))
         clients = [await it.client(1), await it.client(2)]
@@ -521,7 +523,7 @@
         still.deaf()
         still.desk.beat = lambda: None
         it.decider.members[3].share.heard -= division.FRESH + 1
-        it.decider.seat.engine.agent.concurrency_limit = 200.0
+        it.decider.engine_host.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in others for _ in range(30)]
         await finish(*calls)
         assert {call.status for call in calls} == {"0"}
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -10,7 +10,7 @@
 
 from cartweir import interface as ours
 from cartweir.engine import Engine
-from cartweir.hosting.known import SETTINGS, SettingError, known_from
+from cartweir.hosting.platform_settings import SETTINGS, SettingError, parse_settings
 from cartweir.interface import Appliance, Dispatch, Invocation, Outcome, Stage
 from cartweir.node import config
 
@@ -196,7 +196,7 @@
                         control=control, style=style, per=per, closedStages=1, autoAfter=5000.0, toPause=1
                     )
                     settings["classes"][1]["dedupScope"] = scope
-                    taken, sink = play(known_from(settings))
+                    taken, sink = play(parse_settings(settings))
                     assert sorted(invocation.id for invocation in sink.answers) == [
                         invocation.id for invocation in taken
                     ]
@@ -204,14 +204,14 @@
 
 def test_a_setting_that_can_not_be_read_tells_its_place():
     with pytest.raises(SettingError) as found:
-        known_from({"safety": {"fall": "soon"}})
+        parse_settings({"safety": {"fall": "soon"}})
     assert str(found.value) == "safety.fall: 'soon'; a time in milliseconds is due"
 
 
 def test_an_appliance_that_begins_at_nothing_can_be_weighed_in_the_moment_of_its_start():
     settings = copy.deepcopy(ground.SETTINGS)
     settings["safety"]["coldFrom"] = 0.0
-    sink, decision_settings = RecordingSink(), known_from(settings)
+    sink, decision_settings = RecordingSink(), parse_settings(settings)
     engine = Engine(4_000_000, 7, decision_settings, sink)
     engine.agent.on_list(
         "whole", [Appliance("s0", 1, started=1_000_000), Appliance("s1", 1, started=4_000_000)]
--- a/tests/test_discovery_clock.py
+++ b/tests/test_discovery_clock.py
@@ -27,8 +27,8 @@
     run,
 )
 
-from cartweir.hosting.roster import Roster
-from cartweir.hosting.seat import Seat
+from cartweir.hosting.appliance_list import ApplianceList
+from cartweir.hosting.engine_host import EngineHost
 from cartweir.node import discovery
 
 EXAMPLES = 60  # of each way of getting lists
@@ -113,11 +113,13 @@
 
 # ---- the check finds what it is there for ----
 def ignores_changes(patch: pytest.MonkeyPatch) -> None:
-    listed = Seat.listed
+    listed = EngineHost.apply_list
     patch.setattr(
-        Seat,
-        "listed",
-        lambda seat, how, *more, **also: [] if how == "changes" else listed(seat, how, *more, **also),
+        EngineHost,
+        "apply_list",
+        lambda engine_host, how, *more, **also: (
+            [] if how == "changes" else listed(engine_host, how, *more, **also)
+        ),
     )
 
 
@@ -126,8 +128,12 @@
 
 
 def keeps_what_a_whole_list_lacks(patch: pytest.MonkeyPatch) -> None:
-    apply = Roster.apply
-    patch.setattr(Roster, "apply", lambda roster, whole, *rest, **more: apply(roster, False, *rest, **more))
+    apply = ApplianceList.apply
+    patch.setattr(
+        ApplianceList,
+        "apply",
+        lambda appliance_list, whole, *rest, **more: apply(appliance_list, False, *rest, **more),
+    )
 
 
 def stays_at_the_old_address(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -90,7 +90,7 @@
 def narrow(monkeypatch):
     """Little of what the node writes to clients fits into its kernel."""
 
-    class Narrow(tcp.Socket):
+    class Narrow(tcp.NonBlockingSocket):
         __slots__ = ()
 
         def __init__(self, loop, sock, owner):
@@ -288,7 +288,7 @@
     held = Held()
     async with ground(held, sockets=64) as it:
         await it.noted("list")
-        it.daemon.seat.engine.agent.concurrency_limit = (
+        it.daemon.engine_host.engine.agent.concurrency_limit = (
             1000.0  # nothing is held inside: a request that is read goes out at once
         )
         inside = [Raw(it.address) for _ in range(it.daemon.front.most)]
@@ -332,7 +332,7 @@
         ] and not faults
 
 
-class Late(tcp.Connecting):
+class Late(tcp.PendingConnection):
     """A connection that is ready when the test says so."""
 
     made: list[Late] = []
@@ -349,7 +349,7 @@
 
 @pytest.fixture
 def late(monkeypatch):
-    monkeypatch.setattr(links, "Connecting", Late)
+    monkeypatch.setattr(links, "PendingConnection", Late)
     monkeypatch.setattr(Late, "made", made := [])
     return made
 
@@ -363,7 +363,7 @@
         await until(lambda: late)
         client.socket.close() if how == "close" else client.reset()
         late[0].ready()
-        await until(lambda: not it.daemon.front.clients and not it.daemon.seat.calls)
+        await until(lambda: not it.daemon.front.clients and not it.daemon.engine_host.calls)
         other = Raw(it.address)
         other.write(ask("other"))
         await until(lambda: it.appliances[0].requests or len(late) > 1)
@@ -377,17 +377,17 @@
 async def test_nothing_is_sent_on_for_a_client_that_goes_in_the_turn_in_which_it_is_no_longer_held():
     async with ground(Appliance()) as it:
         await it.noted("list")
-        agent = it.daemon.seat.engine.agent
+        agent = it.daemon.engine_host.engine.agent
         limit, agent.concurrency_limit = agent.concurrency_limit, 0.0
         client = Raw(it.address)
         client.write(ask("gone"))
         await until(lambda: agent.held and it.daemon.clock.now() > agent.held[0].arrived_at + 2 * links.HELD)
         client.socket.close()
         agent.concurrency_limit = limit
-        it.daemon.seat.enter()
+        it.daemon.engine_host.catch_up()
         agent.wake_held()
-        it.daemon.seat.engine.resume_woken()
-        await until(lambda: not it.daemon.front.clients and not it.daemon.seat.calls)
+        it.daemon.engine_host.engine.resume_woken()
+        await until(lambda: not it.daemon.front.clients and not it.daemon.engine_host.calls)
         other = Raw(it.address)
         other.write(ask("other"))
         assert (await other.answer())[0] == 200
@@ -404,7 +404,7 @@
         client.write(ask("waits", "issue"))
         await until(lambda: late)
         place = next(number for number in (0, 1) if it.appliances[number].address == late[0].address)
-        old = it.daemon.seat.roster.appliances[f"s{place}"]
+        old = it.daemon.engine_host.appliance_list.appliances[f"s{place}"]
         it.discovery.tell(entry(f"s{place}", it.appliances[place], **news))
         await until(lambda: old.state != ours.READY)
         late[0].ready()
@@ -424,7 +424,7 @@
         await until(lambda: late)
         late[0].ready()
         await until(lambda: len(late) > 1)
-        (invocation,) = it.daemon.seat.calls
+        (invocation,) = it.daemon.engine_host.calls
         invocation.dispatches[0].sent -= invocation.operation.window
         for one in late[1:]:
             one.ready()
@@ -467,10 +467,10 @@
     async with ground(*(Cutting(plan) for _ in range(4))) as it:
         client = Raw(it.address)
         for cut in range(whole + 1):
-            it.daemon.seat.engine.agent.retry_budget = (
+            it.daemon.engine_host.engine.agent.retry_budget = (
                 10.0  # what is tried here is one exchange, not a storm of them
             )
-            for appliance in it.daemon.seat.roster.appliances.values():
+            for appliance in it.daemon.engine_host.appliance_list.appliances.values():
                 appliance.decision_state.unanswered_count = appliance.decision_state.closures = (
                     appliance.decision_state.closed_until
                 ) = 0
@@ -557,13 +557,13 @@
     async with ground(held, Appliance()) as it:
         await it.noted("list")
         it.discovery.tell(entry("s1", it.appliances[1], status="draining"))
-        await until(lambda: it.daemon.seat.roster.appliances["s1"].state == ours.DRAINING)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s1"].state == ours.DRAINING)
         client = Raw(it.address)
         client.write(ask("crossing", operation))
         await held.got(1)
-        (invocation,), (attempt,) = it.daemon.seat.calls, it.daemon.seat.attempts.values()
+        (invocation,), (attempt,) = it.daemon.engine_host.calls, it.daemon.engine_host.attempts.values()
         it.discovery.tell(entry("s1", it.appliances[1]))
-        await until(lambda: it.daemon.seat.roster.appliances["s1"].state == ours.READY)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s1"].state == ours.READY)
         held.writers[-1].write(good(b"late"))  # goes to the kernel at once
         if what == "time-out":
             attempt._out_of_time()
@@ -573,7 +573,7 @@
             )
         else:
             client.socket.close()
-            await until(lambda: not it.daemon.seat.calls)
+            await until(lambda: not it.daemon.engine_host.calls)
             assert held.requests == ["crossing"] and not it.appliances[1].requests
             return
         status, _, body = await client.answer()
@@ -599,7 +599,7 @@
         return None if headers["x-request-id"] == "hit" else good(b"fine")
 
     async with ground(Appliance(script)) as it:
-        agent, told = it.daemon.seat.engine.agent, []
+        agent, told = it.daemon.engine_host.engine.agent, []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context["exception"]))
         method, raised = getattr(type(agent), where), []
 
@@ -616,7 +616,7 @@
         assert status in (500, 429) and [type(error) for error in told] == [ZeroDivisionError]
         agent.retry_budget = 10.0
         client.write(ask("next"))
-        assert (await client.answer())[::2] == (200, b"fine") and not it.daemon.seat.calls
+        assert (await client.answer())[::2] == (200, b"fine") and not it.daemon.engine_host.calls
 
 
 @sockets
@@ -626,7 +626,7 @@
     async with ground(held) as it:
         await it.noted("list")
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
-        engine, raised = it.daemon.seat.engine, []
+        engine, raised = it.daemon.engine_host.engine, []
         settle = engine.resume_woken
 
         def faulty():
@@ -641,7 +641,7 @@
         await held.got(1)
         assert raised
         client.socket.close()
-        await until(lambda: not it.daemon.seat.calls and not it.daemon.front.clients)
+        await until(lambda: not it.daemon.engine_host.calls and not it.daemon.front.clients)
 
 
 @sockets
@@ -658,7 +658,7 @@
 async def test_a_fault_in_one_alarm_withholds_none_of_the_others():
     async with ground(Appliance()) as it:
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
-        engine, rung = it.daemon.seat.engine, []
+        engine, rung = it.daemon.engine_host.engine, []
         now = it.daemon.clock.now()
         engine.call_at(now + 10_000, lambda: 1 // 0)
         engine.call_at(now + 20_000, lambda: rung.append(1))
@@ -692,9 +692,9 @@
             )
             + b"\n"
         )
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING)
         say(b"\n" + indented({"index": 3, "snapshot": True, "endpoints": [entry("s1", it.appliances[1])]}, 1))
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.GONE)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.GONE)
         assert len(it.discovery.asked) == 1 and not any(event == "discovery_lost" for event, _ in it.notes)
 
 
@@ -713,7 +713,7 @@
 async def test_a_fault_as_a_list_is_followed_ends_no_watching(monkeypatch):
     async with ground(Appliance()) as it:
         await it.noted("list")
-        listed, raised = it.daemon.seat.listed, []
+        listed, raised = it.daemon.engine_host.apply_list, []
 
         def faulty(how, *arguments, **more):
             if how == "changes" and not raised:
@@ -721,11 +721,11 @@
                 raise KeyError("on purpose")
             return listed(how, *arguments, **more)
 
-        monkeypatch.setattr(it.daemon.seat, "listed", faulty)
+        monkeypatch.setattr(it.daemon.engine_host, "apply_list", faulty)
         it.discovery.tell(entry("s0", it.appliances[0], status="draining"))
         assert "KeyError" in (await it.noted("internal_error"))["error"]
         it.discovery.endpoints = [entry("s0", it.appliances[0], status="draining")]
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING)
 
 
 @sockets
@@ -749,7 +749,7 @@
         await until(lambda: asked)
         it.daemon.discovery.address = watched
         it.discovery.tell(entry("s0", it.appliances[0], status="draining"))
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING)
         asked[0].write(
             good(
                 json.dumps(
@@ -758,7 +758,7 @@
             )
         )
         assert (await it.noted("list_old")) == {"version": 1, "held": 2}
-        assert it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING
+        assert it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING
         server.close()
 
 
@@ -770,11 +770,14 @@
         it.discovery.index = 40
         it.discovery.tell(entry("s0", it.appliances[0], weight=0.0))
         await until(
-            lambda: it.daemon.discovery.version == 41 and it.daemon.seat.roster.appliances["s0"].weight == 0.0
+            lambda: (
+                it.daemon.discovery.version == 41
+                and it.daemon.engine_host.appliance_list.appliances["s0"].weight == 0.0
+            )
         )
         it.discovery.index, it.discovery.endpoints = 2, [entry("s1", it.appliances[1])]
         it.discovery.tell(entry("s0", it.appliances[0]))
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.GONE)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.GONE)
         assert it.discovery.asked[1].startswith("GET /api/targets?watch=1 ")
 
 
@@ -787,12 +790,12 @@
     async with ground(Appliance()) as it:
         await it.noted("list")
         lost = it.daemon.discovery
-        it.daemon.seat.engine.agent.subscribed = False  # as in a process that has heard nothing yet
+        it.daemon.engine_host.engine.agent.subscribed = False  # as in a process that has heard nothing yet
         lost.move(f"127.0.0.1:{port}")
         await it.noted("discovery_lost")
         back = Discovery([entry("s0", it.appliances[0], status="draining")])
         back.server = await asyncio.start_server(back._accepted, "127.0.0.1", port)
-        await until(lambda: it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING)
+        await until(lambda: it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING)
         back.stop()
 
 
@@ -814,7 +817,8 @@
             )
             await until(
                 lambda: (
-                    it.daemon.seat.roster.appliances["s1"].state == (ours.DRAINING, ours.READY)[number % 2]
+                    it.daemon.engine_host.appliance_list.appliances["s1"].state
+                    == (ours.DRAINING, ours.READY)[number % 2]
                 )
             )
         client = Raw(it.address)
@@ -840,8 +844,8 @@
         it.desk.tell("news", build=2, stage=0, phase="testing", cap=0.2, age_ms=1)
         await until(
             lambda: (
-                it.daemon.seat.roster.appliances["s0"].state == ours.DRAINING
-                and it.daemon.seat.engine.agent.stage.build == 2
+                it.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING
+                and it.daemon.engine_host.engine.agent.stage.build == 2
             )
         )
         old, new = it.discovery.watches[0], it.discovery.watches[-1]
@@ -875,15 +879,15 @@
             ).encode()
             + b"\n"
         )
-        await until(lambda: it.daemon.seat.engine.agent.stage.build == 3)
+        await until(lambda: it.daemon.engine_host.engine.agent.stage.build == 3)
 
 
 @pytest.mark.parametrize("error", [{"message": []}, {"message": {"a": 1}}, [], 7, None], ids=str)
 @sockets
 async def test_whatever_a_vote_is_answered_the_decisions_are_told(error):
     async with ground(Appliance()) as it:
-        told, staged = [], it.daemon.seat.staged
-        it.daemon.seat.staged = lambda stage: (told.append(stage.vote_answer), staged(stage))
+        told, staged = [], it.daemon.engine_host.apply_stage
+        it.daemon.engine_host.apply_stage = lambda stage: (told.append(stage.vote_answer), staged(stage))
         it.desk.vote = lambda call: (
             json.dumps({"jsonrpc": "2.0", "id": call["id"], "error": error}).encode() + b"\n"
         )
@@ -897,8 +901,8 @@
 async def test_a_vote_that_is_out_as_the_desk_moves_or_the_end_comes_is_told_once(crossing, monkeypatch):
     monkeypatch.setattr(front, "LATE_COMERS", 1_000)
     async with ground(Appliance()) as it, ground(Appliance()) as other:
-        told, staged, calls = [], it.daemon.seat.staged, []
-        it.daemon.seat.staged = lambda stage: (told.append(stage.vote_answer), staged(stage))
+        told, staged, calls = [], it.daemon.engine_host.apply_stage, []
+        it.daemon.engine_host.apply_stage = lambda stage: (told.append(stage.vote_answer), staged(stage))
         it.desk.vote = lambda call: calls.append(call) or b""
         await until(lambda: it.desk.listeners)
         it.daemon.vote(2, 0, "on")
--- a/tests/test_list_trust.py
+++ b/tests/test_list_trust.py
@@ -13,7 +13,7 @@
 
 from cartweir import interface as ours
 from cartweir import logic
-from cartweir.hosting.seat import Seat
+from cartweir.hosting.engine_host import EngineHost
 from cartweir.node import daemon, discovery
 
 GRACE = S  # drain_grace of a Scene
@@ -60,16 +60,16 @@
     await reader.read()
 
 
-def recorded_reports(seat: Seat, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+def recorded_reports(engine_host: EngineHost, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """What the seat is told of the list from now on; it is told all the same."""
     reports: list[str] = []
-    listed = seat.listed
+    listed = engine_host.apply_list
 
     def record(how: str, *more: Any, **also: Any) -> list[ours.Appliance]:
         reports.append(how)
         return listed(how, *more, **also)
 
-    monkeypatch.setattr(seat, "listed", record)
+    monkeypatch.setattr(engine_host, "apply_list", record)
     return reports
 
 
@@ -252,7 +252,7 @@
         await it.noted("list")
         it.discovery.stop()
         await it.noted("discovery_lost")
-        reports = recorded_reports(it.daemon.seat, monkeypatch)
+        reports = recorded_reports(it.daemon.engine_host, monkeypatch)
         while not reports:  # until the decisions have asked anew and that call has failed too
             await asyncio.sleep(0.01)
         client = await it.client()
@@ -276,7 +276,7 @@
         server = await asyncio.start_server(end_after_waiting, "127.0.0.1", 0)
         it.daemon.discovery.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         monkeypatch.setattr(
-            it.daemon.seat, "listed", lambda how, rows=(), waited=0: ends.append((how, waited))
+            it.daemon.engine_host, "apply_list", lambda how, rows=(), waited=0: ends.append((how, waited))
         )
         await it.daemon.discovery._fetching()
         wait = 0.0
@@ -306,7 +306,7 @@
 async def test_a_watch_that_breaks_off_tells_that_discovery_has_gone_and_a_503_does_not(monkeypatch):
     async with ground(Appliance()) as it:
         await it.noted("list")
-        reports = recorded_reports(it.daemon.seat, monkeypatch)
+        reports = recorded_reports(it.daemon.engine_host, monkeypatch)
         server = await Overloaded(it.discovery.endpoints).start()
         it.daemon.discovery.address = server.address
         it.discovery.watches[0].close()
@@ -320,7 +320,7 @@
 async def test_an_empty_line_on_a_quiet_watch_renews_the_lease(monkeypatch):
     async with ground(Appliance()) as it:
         await it.noted("list")
-        reports = recorded_reports(it.daemon.seat, monkeypatch)
+        reports = recorded_reports(it.daemon.engine_host, monkeypatch)
         it.discovery.watches[0].write(b"1\r\n\n\r\n")
         while not reports:
             await asyncio.sleep(0.005)
@@ -331,7 +331,7 @@
 async def test_neither_a_head_without_a_list_nor_a_part_of_a_change_renews_the_lease(monkeypatch):
     async with ground(Appliance()) as it:
         await it.noted("list")
-        reports = recorded_reports(it.daemon.seat, monkeypatch)
+        reports = recorded_reports(it.daemon.engine_host, monkeypatch)
         watch = it.discovery.watches[0]
         watch.write(b'3\r\n{"i\r\n')  # of a change whose rest never comes
         server = await asyncio.start_server(head_alone, "127.0.0.1", 0)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -160,8 +160,8 @@
     write_new_file(tmp_path / "new.ini", migrate_settings(settings(tmp_path, address, told), shape).text)
     it.daemon = Daemon(read_agent(tmp_path / "new.ini"), it.log)
     heard, seen = asyncio.Event(), []
-    seat_told = it.daemon.seat.tallied
-    it.daemon.seat.tallied = lambda tally: (
+    seat_told = it.daemon.engine_host.apply_tally
+    it.daemon.engine_host.apply_tally = lambda tally: (
         seat_told(tally),
         seen.append(tally),
         len(seen) < 2 or heard.set(),
@@ -172,7 +172,7 @@
         await asyncio.wait_for(listed, 10)
         conveyor.listed.set()
         await asyncio.wait_for(heard.wait(), 10)
-        judge = it.daemon.seat.engine.agent.evidence.streams[None, TALLY_STREAM]
+        judge = it.daemon.engine_host.engine.agent.evidence.streams[None, TALLY_STREAM]
         assert (
             judge.counts == [76, 0] and 0 < judge.failures[0] < 8
         )  # of the earlier build, with little traffic on trial
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -96,7 +96,7 @@
         client.writer.write(ask("a"))
         await held.got(1)
         assert (await client.say(ask("b")))[0] == 400
-        assert not it.daemon.seat.calls and len(held.requests) == 1
+        assert not it.daemon.engine_host.calls and len(held.requests) == 1
 
 
 @pytest.mark.parametrize(
@@ -207,7 +207,7 @@
         it.discovery.tell(
             {**entry("full", it.appliances[0]), "address": "127.0.0.1:%d" % full.getsockname()[1]}
         )
-        while "full" not in it.daemon.seat.roster.appliances:
+        while "full" not in it.daemon.engine_host.appliance_list.appliances:
             await asyncio.sleep(0.005)
         client, number = await it.client(), 0
         while not any(event == "unconnected" for event, _ in it.notes):
@@ -225,13 +225,13 @@
     """The kernel has taken a part of a side-effecting request when its connection breaks: it goes again."""
     narrow = []
 
-    class Narrow(tcp.Socket):
+    class Narrow(tcp.NonBlockingSocket):
         def __init__(self, loop, sock, owner):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             super().__init__(loop, sock, owner)
             narrow.append(self)
 
-    monkeypatch.setattr(links, "Socket", Narrow)
+    monkeypatch.setattr(links, "NonBlockingSocket", Narrow)
     stuck = socket.socket()  # takes connections, reads nothing
     stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stuck.bind(("127.0.0.1", 0))
@@ -241,7 +241,7 @@
         it.discovery.tell(
             {**entry("stuck", it.appliances[0]), "address": "127.0.0.1:%d" % stuck.getsockname()[1]}
         )
-        while "stuck" not in it.daemon.seat.roster.appliances:
+        while "stuck" not in it.daemon.engine_host.appliance_list.appliances:
             await asyncio.sleep(0.005)
         client, broken = await it.client(), False
         for number in range(60):
@@ -321,7 +321,7 @@
         client = await it.client()
         await it.noted("list")
         it.discovery.tell(entry("s0", it.appliances[0], status="draining"))
-        while it.daemon.seat.roster.appliances["s0"].state != "draining":
+        while it.daemon.engine_host.appliance_list.appliances["s0"].state != "draining":
             await asyncio.sleep(0.005)
         before = len(it.appliances[0].requests)
         for number in range(10):
@@ -347,7 +347,7 @@
         while len(other.discovery.watches) < 2 or len(other.desk.listeners) < 2:
             await asyncio.sleep(0.005)
         other.desk.tell("news", build=2, stage=0, phase="testing", cap=0.2, age_ms=1)
-        while (await it.noted("stage"))["build"] != 2 and it.daemon.seat.engine.agent.stage.build != 2:
+        while (await it.noted("stage"))["build"] != 2 and it.daemon.engine_host.engine.agent.stage.build != 2:
             await asyncio.sleep(0.005)
         assert (await (await it.client()).say(ask("a")))[0] == 200
 
@@ -402,7 +402,7 @@
         it.desk.news = []
         await it.noted("desk_back")
         it.desk.tell("news", build=2, stage=0, phase="testing", cap=0.2, age_ms=1)
-        while it.daemon.seat.engine.agent.stage.build != 2:
+        while it.daemon.engine_host.engine.agent.stage.build != 2:
             await asyncio.sleep(0.005)
 
 
@@ -433,12 +433,12 @@
 
 
 class Heard:
-    """The part of a Seat that datagrams reach."""
+    """The part of a EngineHost that datagrams reach."""
 
     def __init__(self, me):
         self.settings, self.said = {"me": me}, []
 
-    def told(self, sender, figures):
+    def receive_message(self, sender, figures):
         self.said.append((sender, figures))
 
 
@@ -453,8 +453,8 @@
     notes = []
     seats = [Heard(me) for me in range(3)]
     peers = [
-        Peers(seat, address, addresses, None, lambda event, **facts: notes.append(event))
-        for seat, address in zip(seats, addresses)
+        Peers(engine_host, address, addresses, None, lambda event, **facts: notes.append(event))
+        for engine_host, address in zip(seats, addresses)
     ]
     peers[0].message(1, [5, 0, 7])
     peers[1].message(None, [0, 2])
@@ -464,7 +464,11 @@
     peers[2].message(0, [3])
     while not (seats[0].said[-1:] == [(2, [3])] and seats[1].said and seats[2].said):
         await asyncio.sleep(0.005)
-    assert [seat.said for seat in seats] == [[(1, [0, 2]), (2, [3])], [(0, [5, 0, 7])], [(1, [0, 2])]]
+    assert [engine_host.said for engine_host in seats] == [
+        [(1, [0, 2]), (2, [3])],
+        [(0, [5, 0, 7])],
+        [(1, [0, 2])],
+    ]
     assert notes == ["message_too_long"]
     for one in peers:
         one.close()
--- a/tests/test_doors.py
+++ b/tests/test_same_decisions.py
@@ -1,4 +1,4 @@
-"""One sequence of events through both doors, the drill's lines and the agent's Seat under a fake clock: the same
+"""One sequence of events through both doors, the drill's lines and the agent's EngineHost under a fake clock: the same
 decisions, in the same order."""
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 import pytest
 
 from cartweir import interface as ours
-from cartweir.drill.adapter import OUTCOMES, PHASES, STATES, known_from, serve
-from cartweir.hosting.roster import Row
-from cartweir.hosting.seat import Seat
+from cartweir.drill.adapter import OUTCOMES, PHASES, STATES, parse_settings, serve
+from cartweir.hosting.appliance_list import ListEntry
+from cartweir.hosting.engine_host import EngineHost
 from cartweir.interface import Stage
 
 CODES = {how: code for code, how in OUTCOMES.items()}
@@ -82,10 +82,10 @@
     def now(self):
         return self.time
 
-    def alarm_at(self, due):
+    def schedule_alarm(self, due):
         self.alarms.append(due)
 
-    def soon(self, do):
+    def run_soon(self, do):
         self.later.append(do)
 
     def start(self, dispatch, call):
@@ -104,7 +104,7 @@
     def message(self, to, figures):
         self.say(f"message {'all' if to is None else to} {figures}")
 
-    def note(self, event, **facts):
+    def log_event(self, event, **facts):
         if event == "decision":
             self.say(f"log {facts['text']}")
 
@@ -194,8 +194,8 @@
 def day(seed, bad):
     """Drawn events at the agent's door, and the same ones as lines for the drill."""
     chance, start = random.Random(seed), 1_000_000
-    fake, settings = Fake(start), known_from(PARAMS)
-    seat = Seat(fake, settings, 7)
+    fake, settings = Fake(start), parse_settings(PARAMS)
+    engine_host = EngineHost(fake, settings, 7)
     events = [(start, [f"SPAWN\tagent=agent_1\trngSeed=7\tparams={json.dumps(PARAMS)}"])]
     number = 0
 
@@ -209,7 +209,7 @@
         while fake.later:  # what the World does in its next turn
             fake.later.pop(0)()
 
-    end = seat.ended
+    end = engine_host.dispatch_ended
 
     def ended(dispatch, how, load=None, answer=None, passed=False):
         """Each end that the agent's door tells, the drill is told by a line."""
@@ -226,19 +226,19 @@
             )
         end(dispatch, how, load, answer, passed)
 
-    seat.ended = ended
+    engine_host.dispatch_ended = ended
 
     def listing(entries, whole):
         rows, lines = [], [f"POOL\tsheet=0\trows={len(entries)}"]
         for ident, build, state, zone, started in entries:
-            rows.append(Row(ident, build, started, started, state, zone, 0, "std", 1.0))
+            rows.append(ListEntry(ident, build, started, started, state, zone, 0, "std", 1.0))
             phase = {v: k for k, v in STATES.items()}[state]
             lines.append(
                 f"ENTRY\tphase={phase}\tshape=std\tsize=1\tappliance={ident}\tdc={zone}\tpod=0\truns={build}"
                 f"\tupSince={ms(started)}"
             )
         lines.append(f"REGISTRY\tagent=agent_1\thow={'snapshot' if whole else 'diff'}\tversion=1\tsheet=0")
-        both(lines, lambda: seat.listed("whole" if whole else "changes", rows))
+        both(lines, lambda: engine_host.apply_list("whole" if whole else "changes", rows))
 
     def staged(build, stage, phase, cap):
         both(
@@ -246,14 +246,14 @@
                 f"RELEASE_STATE\tagent=agent_1\tbuild={build}\tring={stage}\twhereAt={PHASES.index(phase)}\thow=0\tcap={cap}"
                 f"\tlateness=0"
             ],
-            lambda: seat.staged(Stage(build, stage, phase, cap, 0, None)),
+            lambda: engine_host.apply_stage(Stage(build, stage, phase, cap, 0, None)),
         )
 
     def alarms_until(time):
         while fake.alarms and min(fake.alarms) <= time:
             fake.time = max(fake.time, min(fake.alarms))
             fake.alarms = [due for due in fake.alarms if due > fake.time]
-            both(["TIMEOUT_FIRED\tagent=agent_1\tref=0"], seat.alarm)
+            both(["TIMEOUT_FIRED\tagent=agent_1\tref=0"], engine_host.run_timers)
         fake.time = time
 
     old = [(f"old{n}", 1, ours.READY, "ab"[n % 2], 0) for n in range(6)]
@@ -276,13 +276,17 @@
                 [
                     f"INGRESS\tagent=agent_1\trequestId={ident}\tservice={operation}\titem={key}\tleft={ms(left)}"
                 ],
-                lambda: seat.take(Call(fake, ident), seat.operations[operation], fake.time, left, key=key),
+                lambda: engine_host.accept(
+                    Call(fake, ident), engine_host.operations[operation], fake.time, left, key=key
+                ),
             )
         elif roll < 0.5 and (waiting := [line for line in fake.lines[-4:] if " probe " in line]):
             ident = waiting[-1].split()[-1]
             both(
                 [f"SAMPLED\tagent=agent_1\tappliance={ident}\tverdict=200\trtt=1.0"],
-                lambda: seat.probed(seat.roster.appliances[ident], True, 1000, None),
+                lambda: engine_host.probe_ended(
+                    engine_host.appliance_list.appliances[ident], True, 1000, None
+                ),
             )
         elif fake.out:
             invocation, shot = chance.choice(list(fake.out))
@@ -294,7 +298,7 @@
             )
             if bad and dispatch.appliance.build == 2 and chance.random() < 0.5:
                 how = ours.ERROR
-            seat.ended(dispatch, how, answer=((), [], ()) if how == ours.SUCCEEDED else None)
+            engine_host.dispatch_ended(dispatch, how, answer=((), [], ()) if how == ours.SUCCEEDED else None)
             turn()
     return fake.lines, events
 
--- a/tests/virtual_agent.py
+++ b/tests/virtual_agent.py
@@ -1,4 +1,4 @@
-"""One process of an agent on virtual time: the node's Seat and Discovery, wired as its daemon does, with a
+"""One process of an agent on virtual time: the node's EngineHost and Discovery, wired as its daemon does, with a
 trickle of invocations each of which succeeds wherever it is sent.
 """
 
@@ -13,9 +13,9 @@
 from virtual_discovery import VirtualDiscovery
 from virtual_time import TimerAdapter
 
-from cartweir.hosting.alarms import Alarms
-from cartweir.hosting.seat import Seat
-from cartweir.hosting.waits import Waits
+from cartweir.hosting.alarms import AlarmScheduler
+from cartweir.hosting.backoff import Backoff
+from cartweir.hosting.engine_host import EngineHost
 from cartweir.interface import RELEASED, SUCCEEDED, Appliance, Dispatch, Stage
 from cartweir.node.daemon import RECONNECT
 from cartweir.node.discovery import Discovery
@@ -54,7 +54,7 @@
 
 
 class VirtualAgent:
-    """The World of a Seat."""
+    """The World of a EngineHost."""
 
     def __init__(
         self, platform: VirtualDiscovery, settings: Mapping[str, Any], seed: int, listed: Mapping[str, Any]
@@ -67,24 +67,28 @@
         self.alive, self.answers = True, Answers()
         self._subscribe_later = False
         self.discovery: Discovery | None = None
-        self.alarms = Alarms(TimerAdapter(self.loop), self.now, self._alarm)
-        self.links = Links(Reach(250_000, 250_000, 0, 100), self.now, self.note)
-        self.seat = self.links.seat = Seat(self, settings, seed)
-        waits = None if settings["must_ask"] else Waits(*RECONNECT, random.Random(seed + 2))
-        self.discovery = Discovery(self.seat, self.links, platform.address, self.now, self.note, waits)
+        self.alarms = AlarmScheduler(TimerAdapter(self.loop), self.now, self._alarm)
+        self.links = Links(Reach(250_000, 250_000, 0, 100), self.now, self.log_event)
+        self.engine_host = self.links.engine_host = EngineHost(self, settings, seed)
+        backoff = None if settings["must_ask"] else Backoff(*RECONNECT, random.Random(seed + 2))
+        self.discovery = Discovery(
+            self.engine_host, self.links, platform.address, self.now, self.log_event, backoff
+        )
         self.discovery.start(listed)
         if self._subscribe_later or not settings["must_ask"]:
             self.discovery.subscribe()
-        self.seat.staged(Stage(1, 2, RELEASED, 1.0, 60_000_000))
+        self.engine_host.apply_stage(Stage(1, 2, RELEASED, 1.0, 60_000_000))
         self._take()
 
     def _alarm(self) -> None:
         if self.alive:
-            self.seat.alarm()
+            self.engine_host.run_timers()
 
     def _take(self) -> None:
         if self.alive:
-            self.seat.take(self.answers, self.seat.operations[OPERATION], self.now(), TIME_LIMIT)
+            self.engine_host.accept(
+                self.answers, self.engine_host.operations[OPERATION], self.now(), TIME_LIMIT
+            )
             self.loop.call_later(TRICKLE, self._take)
 
     def hang_up(self, address: str) -> None:
@@ -103,10 +107,10 @@
     def now(self) -> int:
         return self.loop.microseconds()
 
-    def alarm_at(self, due: int) -> None:
-        self.alarms.ask(due)
+    def schedule_alarm(self, due: int) -> None:
+        self.alarms.schedule(due)
 
-    def soon(self, do: Callable[[], None]) -> None:
+    def run_soon(self, do: Callable[[], None]) -> None:
         self.loop.call_soon(do)
 
     def start(self, dispatch: Dispatch, call: Any) -> PendingAnswer:
@@ -116,7 +120,7 @@
 
     def _served(self, dispatch: Dispatch) -> None:
         if self.alive:
-            self.seat.ended(dispatch, SUCCEEDED, None, ((), [], ()))
+            self.engine_host.dispatch_ended(dispatch, SUCCEEDED, None, ((), [], ()))
 
     def subscribe(self) -> None:
         if self.discovery is None:
@@ -137,7 +141,7 @@
     def message(self, to: int | None, figures: list[int]) -> None:
         pass
 
-    def note(self, event: str, level: str = "info", **facts: Any) -> None:
+    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
         if event not in ("dispatch", "answer", "list", "left"):
             self.platform.note(
                 f"agent: {event} " + " ".join(f"{name}={value}" for name, value in facts.items())
--- a/tests/virtual_scenario.py
+++ b/tests/virtual_scenario.py
@@ -15,7 +15,7 @@
 from virtual_discovery import Pace, Tamper, VirtualDiscovery
 from virtual_time import VirtualLoop
 
-from cartweir.hosting.known import known_from
+from cartweir.hosting.platform_settings import parse_settings
 from cartweir.node import discovery
 
 SERVERS = 6
@@ -142,7 +142,7 @@
         mode = "on_request" if self.scenario.asked else "pushed"
         safety = {**SETTINGS["safety"], "drainGrace": self.scenario.grace * 1000}
         allowed = {**SETTINGS["allowed"], "peers": False}
-        return known_from(
+        return parse_settings(
             {**SETTINGS, "balancers": 1, "registryMode": mode, "safety": safety, "allowed": allowed}
         )
 
