--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -31,14 +31,14 @@
 from ..wire.grpc import Malformed
 from ..wire.link import Tap
 from . import pipe as say
-from .book import Book
-from .desk import OUTCOMES, SUCCEED, TERMINATE, THROTTLE, mark_of
+from .shared_state import SharedState
+from .dispatcher import OUTCOMES, SUCCEED, TERMINATE, THROTTLE, mark_of
 from .division import Division, Share, binds, trusted
-from .keeping import kept, put_back
+from .snapshot import kept, put_back
 from .pipe import Pipe
 
 
-class Member:
+class WorkerConnection:
     """One carrying part."""
 
     def __init__(self, number: int, pipe: Pipe, share: Share) -> None:
@@ -57,12 +57,12 @@
             del self.invocations[invocation_id]
 
 
-class FarCall:
+class RemoteCall:
     """In place of a client's call: the part that holds it is told the answer."""
 
     __slots__ = ("member", "id", "answer", "given")
 
-    def __init__(self, member: Member, invocation_id: int) -> None:
+    def __init__(self, member: WorkerConnection, invocation_id: int) -> None:
         self.member, self.id = member, invocation_id
         self.answer = 0  # number of the dispatch whose answer it is to be
         self.given = False  # the part has passed it on already
@@ -82,12 +82,12 @@
         self._say(TERMINATE, 0)
 
 
-class FarAttempt:
+class RemoteAttempt:
     """In place of an attempt."""
 
     __slots__ = ("call", "dispatch", "share")
 
-    def __init__(self, call: FarCall, dispatch: Dispatch, share: Share) -> None:
+    def __init__(self, call: RemoteCall, dispatch: Dispatch, share: Share) -> None:
         self.call, self.dispatch, self.share = call, dispatch, share
 
     def abandon(self, late: bool) -> None:
@@ -143,8 +143,8 @@
         seed = secrets.randbits(63) if agent.seed is None else agent.seed * 1000 + life
         self.chance = random.Random(seed)
         self.alarms = AlarmScheduler(self.loop, self.clock.now, lambda: self.engine_host.run_timers())
-        self.book = Book(files)
-        self.members: dict[int, Member] = {}
+        self.book = SharedState(files)
+        self.members: dict[int, WorkerConnection] = {}
         self.division = Division(document.agent.cores, document.appliances.connections)
         self.rows: dict[str, ListEntry] = {}
         self.marks: dict[Appliance, str] = {}
@@ -240,11 +240,11 @@
         """A carrying part, old or new."""
         if number in self.members:
             self._lost(self.members[number])
-        member = Member(number, None, self.division.joined(number, self.clock.now()))
+        member = WorkerConnection(number, None, self.division.joined(number, self.clock.now()))
         member.pipe = Pipe(sock, partial(self._heard, member), partial(self._lost, member))
         self.members[number] = member
 
-    def _lost(self, member: Member) -> None:
+    def _lost(self, member: WorkerConnection) -> None:
         """A part that has gone owes nothing; what it had out may have run, and stays counted."""
         if self.members.get(member.number) is not member:
             return
@@ -265,11 +265,11 @@
                     self.engine_host.dispatch_ended(dispatch, ours.CANCELLED)
 
     # ---- what parts say ----
-    def _heard(self, member: Member, message: list) -> None:
+    def _heard(self, member: WorkerConnection, message: list) -> None:
         member.share.heard = self.clock.now()
         self._NEWS[message[0]](self, member, *message[1:])
 
-    def _hello(self, member: Member, number: int) -> None:
+    def _hello(self, member: WorkerConnection, number: int) -> None:
         whole = [self._row(row) for row in self.rows.values() if row.state != ours.GONE]
         if whole:
             member.pipe.send([say.ROWS, "whole", whole])
@@ -277,7 +277,7 @@
             member.pipe.send(self._stage_message(stage))
         member.pipe.send([say.PULSE])
 
-    def _take(self, member: Member, invocation_id: int, operation: int, *facts: Any) -> None:
+    def _take(self, member: WorkerConnection, invocation_id: int, operation: int, *facts: Any) -> None:
         act = partial(self._taken, member, invocation_id, self.operations[operation], *facts)
         if self.engine_host.settings["one_way"] and facts[3]:
             # behind whatever other parts had said of the key before its client could know: that is read a turn later
@@ -287,7 +287,7 @@
 
     def _taken(
         self,
-        member: Member,
+        member: WorkerConnection,
         invocation_id: int,
         operation: Any,
         arrived: int,
@@ -301,7 +301,7 @@
         if self.members.get(member.number) is not member or invocation_id in member.invocations:
             return
         member.invocations[invocation_id] = self.engine_host.accept(
-            FarCall(member, invocation_id),
+            RemoteCall(member, invocation_id),
             operation,
             arrived,
             limit,
@@ -314,7 +314,7 @@
         )
         member.tidy(invocation_id)
 
-    def _left(self, member: Member, invocation_id: int) -> None:
+    def _left(self, member: WorkerConnection, invocation_id: int) -> None:
         invocation = member.invocations.get(invocation_id)
         if invocation is not None:
             self.engine_host.client_left(invocation)
@@ -322,7 +322,7 @@
 
     def _ended(
         self,
-        member: Member,
+        member: WorkerConnection,
         invocation_id: int,
         number: int,
         how: int,
@@ -345,12 +345,12 @@
         self.engine_host.lag = 0
         member.tidy(invocation_id)
 
-    def _begun(self, member: Member, invocation_id: int) -> None:
+    def _begun(self, member: WorkerConnection, invocation_id: int) -> None:
         invocation = member.invocations.get(invocation_id)
         if invocation is not None:
             invocation.streaming = True
 
-    def _may(self, member: Member, invocation_id: int, number: int) -> None:
+    def _may(self, member: WorkerConnection, invocation_id: int, number: int) -> None:
         """A grant was not used in time; it counts from now, if it may still go."""
         invocation, goes = member.invocations.get(invocation_id), False
         if invocation is not None and number < len(invocation.dispatches):
@@ -358,7 +358,7 @@
             goes = self.engine_host.may_send(dispatch) and self._booked(dispatch)
         member.pipe.send([say.MAY_GO, invocation_id, number, goes, self.engine_host.engine.now])
 
-    def _probed(self, member: Member, mark: str | None, answered: bool, took: int, load: dict | None) -> None:
+    def _probed(self, member: WorkerConnection, mark: str | None, answered: bool, took: int, load: dict | None) -> None:
         appliance = next(
             (a for a in self.engine_host.appliance_list.appliances.values() if self.marks.get(a) == mark),
             None,
@@ -366,19 +366,19 @@
         if appliance is not None:
             self.engine_host.probe_ended(appliance, answered, took, load)
 
-    def _told(self, member: Member, message: bytes) -> None:
+    def _told(self, member: WorkerConnection, message: bytes) -> None:
         try:
             self.peers.heard(message)
         except Malformed as error:
             self.log_event("message_bad", level="debug", why=str(error))
 
-    def _bound(self, member: Member, key: str | None, build: int) -> None:
+    def _bound(self, member: WorkerConnection, key: str | None, build: int) -> None:
         agent = self.engine_host.engine.agent
         if binds(self.engine_host.settings, agent.stage, key, build):
             agent.bound_keys[key] = max(build, agent.bound_keys.get(key, 0))
             self._write_down(key, build)
 
-    def _member_beat(self, member: Member, leaving: bool) -> None:
+    def _member_beat(self, member: WorkerConnection, leaving: bool) -> None:
         if leaving and not member.leaving:
             member.leaving = True
             self.division.lost(member.number)
@@ -481,7 +481,7 @@
     def run_soon(self, do: Callable[[], None]) -> None:
         self.loop.add_callback(do)
 
-    def start(self, dispatch: Dispatch, call: FarCall) -> FarAttempt:
+    def start(self, dispatch: Dispatch, call: RemoteCall) -> RemoteAttempt:
         invocation, member = dispatch.invocation, call.member
         carrier = self.division.carrier(member.share, dispatch.appliance.id, self.clock.now())
         carrier.out += 1
@@ -500,7 +500,7 @@
         else:
             self.log_event("book_full", level="error")
             self.loop.add_callback(self.engine_host.dispatch_ended, dispatch, ours.OBSOLETE)
-        return FarAttempt(call, dispatch, carrier)
+        return RemoteAttempt(call, dispatch, carrier)
 
     def probe(self, appliance: Appliance) -> None:
         share = self.division.prober(appliance.id, self.clock.now())
--- a/cartweir/cores/desk.py
+++ b/cartweir/cores/dispatcher.py
@@ -26,7 +26,7 @@
 from .division import (
     ASK,
     GO,
-    Silence,
+    DeciderMonitor,
     fate,
     last_word,
     may_meet_alone,
@@ -35,7 +35,7 @@
     stood_still,
     understudy_known,
 )
-from .lending import Lending
+from .forwarding import DispatchForwarding
 from .pipe import Pipe
 
 EventLogger = Callable[..., None]
@@ -53,7 +53,7 @@
 SUCCEED, THROTTLE, TERMINATE = range(3)
 
 
-class Case:
+class PendingInvocation:
     """One invocation that this part holds."""
 
     __slots__ = ("invocation", "call", "facts", "grants", "attempts", "answers", "life", "answered")
@@ -67,7 +67,7 @@
         self.answered = False
 
 
-class Desk:
+class Dispatcher:
     """number: of this part, from 1; links and front report here. `idents` gives numbers that no other part uses."""
 
     def __init__(
@@ -94,7 +94,7 @@
             operation.name: operation for operation in settings["operations"]
         }
         self._index = {operation: at for at, operation in enumerate(settings["operations"])}
-        self.cases: dict[int, Case] = {}
+        self.cases: dict[int, PendingInvocation] = {}
         self.appliance_list = ApplianceList()
         self.appliances: dict[str, Appliance] = {}  # by the mark that the parts know one start of one by
         self.marks: dict[Appliance, str] = {}
@@ -102,10 +102,10 @@
         self.shapes = {stream: Operation("", stream=stream) for stream in (False, True)}
         self.stage: Stage | None = None
         self.told_at = 0
-        self.silence = Silence(clock.now())
+        self.silence = DeciderMonitor(clock.now())
         self.decider: Pipe | None = None
         self.life = 0  # of the deciding part
-        self.lending = Lending(self)
+        self.forwarding = DispatchForwarding(self)
         self.leaving = False
         self._understudy: EngineHost | None = None
         self._alarms = AlarmScheduler(self.loop, clock.now, lambda: self._understudy.run_timers())
@@ -179,13 +179,13 @@
         )
         if self.silence.alone and self._can_stand_in(invocation):
             return self._hand_over(invocation, call, limit, facts)
-        case = self.cases[invocation.id] = Case(invocation, call, facts)
+        case = self.cases[invocation.id] = PendingInvocation(invocation, call, facts)
         self._guard(invocation, last_word(invocation.deadline, self.settings["tick"], False))
         if self.decider is not None and not self.silence.alone:
             self._refer(case)
         return invocation
 
-    def _refer(self, case: Case) -> None:
+    def _refer(self, case: PendingInvocation) -> None:
         invocation, facts = case.invocation, case.facts
         case.life = self.life
         self.decider.send(
@@ -212,7 +212,7 @@
         elif not case.answered:
             self._withdraw(case)
 
-    def _withdraw(self, case: Case) -> None:
+    def _withdraw(self, case: PendingInvocation) -> None:
         """It is answered, or owes nothing: the deciding part is told, and what is out is awaited in silence."""
         case.answered = case.invocation.concluded = True
         self.log_event("withdrawn", level="debug", invocation=case.invocation.id)
@@ -255,11 +255,11 @@
         else:
             self._unused(case, number)
 
-    def _wanted(self, case: Case) -> bool:
+    def _wanted(self, case: PendingInvocation) -> bool:
         """It still wants a dispatch: not once it has an answer, though the deciding part may not know yet."""
         return not (case.answered or case.answers or case.invocation.streaming)
 
-    def _unused(self, case: Case, number: int) -> None:
+    def _unused(self, case: PendingInvocation, number: int) -> None:
         del case.grants[number]
         self._tidy(case)
         self._report(case.invocation.id, number, ours.OBSOLETE)
@@ -285,7 +285,7 @@
             attempt.cleared(goes)
 
     def _start(
-        self, case: Case, number: int, appliance: Appliance, carrier: int, patience: int, given: int
+        self, case: PendingInvocation, number: int, appliance: Appliance, carrier: int, patience: int, given: int
     ) -> None:
         dispatch = Dispatch(appliance, patience, None, case.invocation, number, self.clock.now())
         dispatch.decision_state = given
@@ -301,7 +301,7 @@
         if carrier in (self.number, 0):
             case.attempts[number] = self.appliance_pools.start(dispatch, case.call)
         else:
-            case.attempts[number] = self.lending.lend(dispatch, case.call, carrier)
+            case.attempts[number] = self.forwarding.lend(dispatch, case.call, carrier)
 
     def _may_go(self, invocation_id: int, number: int, goes: bool, given: int) -> None:
         case = self.cases.get(invocation_id)
@@ -341,7 +341,7 @@
             how, figure = SUCCEED, next(iter(case.answers))
         self._give(case, how, figure)
 
-    def _give(self, case: Case, how: int, figure: int) -> None:
+    def _give(self, case: PendingInvocation, how: int, figure: int) -> None:
         """The one final answer. figure: the dispatch whose answer it is, or advice when to come back."""
         case.answered = case.invocation.concluded = True
         if how == SUCCEED:
@@ -372,8 +372,8 @@
     # ---- from the links ----
     def may_send(self, dispatch: Dispatch) -> bool | None:
         """A dispatch has waited for its connection; None: that it may still go is asked, and comes by cleared()."""
-        if self.lending.has(dispatch):
-            return self.lending.may_send(dispatch)
+        if self.forwarding.has(dispatch):
+            return self.forwarding.may_send(dispatch)
         case = self._case(dispatch.invocation)
         if case is None:
             return self._understudy is not None and self._understudy.may_send(dispatch)
@@ -386,7 +386,7 @@
 
     def claim_answer(self, dispatch: Dispatch) -> bool:
         """As the EngineHost's."""
-        if self.lending.has(dispatch):
+        if self.forwarding.has(dispatch):
             return True  # the holder drops it if not
         case = self._case(dispatch.invocation)
         if case is None:
@@ -407,8 +407,8 @@
         passed: bool = False,
     ) -> None:
         """As the EngineHost's."""
-        if self.lending.has(dispatch):
-            self.lending.dispatch_ended(dispatch, how, load, answer, passed)
+        if self.forwarding.has(dispatch):
+            self.forwarding.dispatch_ended(dispatch, how, load, answer, passed)
             return
         case = self._case(dispatch.invocation)
         if case is None:
@@ -460,17 +460,17 @@
         if self.decider is not None:
             self.decider.send([say.ENDED, invocation_id, number, CODES[how], None, False, 0, False])
 
-    def _case(self, invocation: Invocation) -> Case | None:
+    def _case(self, invocation: Invocation) -> PendingInvocation | None:
         case = self.cases.get(invocation.id)
         return case if case is not None and case.invocation is invocation else None
 
-    def _tidy(self, case: Case) -> None:
+    def _tidy(self, case: PendingInvocation) -> None:
         if case.answered and not case.attempts and not case.grants:
             self.cases.pop(case.invocation.id, None)
             case.invocation.dispatches = []  # no cycle is left to the collector
 
     # ---- without the deciding part ----
-    def _rule(self, case: Case) -> None:
+    def _rule(self, case: PendingInvocation) -> None:
         """Nobody else will: what has succeeded is passed on, what is out is awaited, the rest is given up as the
         decisions say. One that was never dispatched is theirs who come next, or the understudy's."""
         invocation = case.invocation
@@ -481,7 +481,7 @@
         elif not case.attempts and not case.grants:
             self._give_up(case)
 
-    def _release(self, case: Case) -> None:
+    def _release(self, case: PendingInvocation) -> None:
         """Passes on an answer that nobody has ruled on."""
         self._give(case, SUCCEED, next(iter(case.answers)))
         self._gone_from_decider(case)
@@ -492,7 +492,7 @@
             self.decider.send([say.BOUND, key, build])
             self.decider.flush()
 
-    def _give_up(self, case: Case) -> None:
+    def _give_up(self, case: PendingInvocation) -> None:
         if case.invocation.streaming:
             self._give(case, TERMINATE, 0)
             self._gone_from_decider(case)
@@ -505,7 +505,7 @@
         self.log_event("gave_up", level="debug", invocation=case.invocation.id)
         self._gone_from_decider(case)
 
-    def _gone_from_decider(self, case: Case) -> None:
+    def _gone_from_decider(self, case: PendingInvocation) -> None:
         if case.life and case.life == self.life:
             self.decider.send([say.LEFT, case.invocation.id])
         elif self.settings["may_cancel"]:
@@ -594,7 +594,7 @@
             else:
                 self._in_time(case)
 
-    def _in_time(self, case: Case) -> None:
+    def _in_time(self, case: PendingInvocation) -> None:
         """The client's time is all but up, and no word has come."""
         if case.answers and not case.invocation.streaming:
             self._release(case)
@@ -610,7 +610,7 @@
     def held(self) -> int:
         """Calls that are owed an answer, and dispatches that are carried for other parts."""
         own = sum(not case.answered for case in self.cases.values())
-        return own + len(self.lending.carried) + (len(self._understudy.calls) if self._understudy else 0)
+        return own + len(self.forwarding.carried) + (len(self._understudy.calls) if self._understudy else 0)
 
     def give_up_all(self) -> None:
         for case in list(self.cases.values()):
--- a/cartweir/cores/division.py
+++ b/cartweir/cores/division.py
@@ -98,7 +98,7 @@
 
 
 # ---- going on alone: by a carrying part ----------------------------------------------------------------------
-class Silence:
+class DeciderMonitor:
     """Whether the deciding part is to be counted on."""
 
     def __init__(self, now: int) -> None:
@@ -177,7 +177,7 @@
 
 
 # ---- watching parts: by the supervisor --------------------------------------------------------------------------
-class Tending:
+class RestartPolicy:
     """One part's lives. hang: a part whose loop has not turned for so long is ended by force."""
 
     LEAST, MOST, WELL = 20 * MS, S, 10 * S  # waits between starts double, unless a life lasted
--- a/cartweir/cores/lending.py
+++ b/cartweir/cores/forwarding.py
@@ -24,7 +24,7 @@
 STALE = "stale"  # the carrier's word for a grant that has run out on the way
 
 
-class Desk(Protocol):
+class Dispatcher(Protocol):
     """What both ends need of the part they belong to."""
 
     settings: Mapping[str, Any]
@@ -49,18 +49,18 @@
     def bind(self, key: str | None, build: int) -> None: ...
 
 
-class Afar:
+class ForwardedDispatch:
     """The holder's end: in place of an Attempt and, while an answer is passed on, of the appliance's stream."""
 
-    def __init__(self, lending: Lending, dispatch: Dispatch, call: ClientCall, pipe: Pipe) -> None:
-        self.lending, self.dispatch, self.call, self.pipe = lending, dispatch, call, pipe
+    def __init__(self, forwarding: DispatchForwarding, dispatch: Dispatch, call: ClientCall, pipe: Pipe) -> None:
+        self.forwarding, self.dispatch, self.call, self.pipe = forwarding, dispatch, call, pipe
         self.key = (dispatch.invocation.id, dispatch.number)
         self.passing = False
 
     # ---- as an Attempt ----
     def abandon(self, late: bool) -> None:
         self.pipe.send([say.DROP, *self.key, late])
-        self.lending.afar.pop(self.key, None)
+        self.forwarding.afar.pop(self.key, None)
 
     def cleared(self, goes: bool) -> None:
         """The deciding part has answered what the carrier asked."""
@@ -71,15 +71,15 @@
         self.pipe.send([say.ROOM, *self.key, size])
 
     def begin(self, head: Headers, body: list[bytes]) -> None:
-        if self.lending.desk.claim_answer(self.dispatch):
+        if self.forwarding.dispatcher.claim_answer(self.dispatch):
             self.passing = True
             self.call.begin(self, head, body)
         else:
             self.abandon(False)
-            self.lending.desk.dispatch_ended(self.dispatch, ours.CANCELLED)
+            self.forwarding.dispatcher.dispatch_ended(self.dispatch, ours.CANCELLED)
 
 
-class Borrowed:
+class RemoteClientCall:
     """The carrier's end: in place of a ClientCall."""
 
     def __init__(self, pipe: Pipe, asked: RequestHeaders, body: list[bytes]) -> None:
@@ -96,30 +96,30 @@
         self.pipe.send([say.PIECE, *self.key, piece])
 
 
-class Lending:
+class DispatchForwarding:
     """Both ends, of one part. `pipes`: to each other part, by its number."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        self.dispatcher = dispatcher
         self.pipes: dict[int, Pipe] = {}
-        self.afar: dict[tuple[int, int], Afar] = {}  # held here, carried elsewhere
-        self.carried: dict[Dispatch, Borrowed] = {}  # carried here
+        self.afar: dict[tuple[int, int], ForwardedDispatch] = {}  # held here, carried elsewhere
+        self.carried: dict[Dispatch, RemoteClientCall] = {}  # carried here
         self._by_key: dict[tuple[int, int], Dispatch] = {}
 
     # ---- the holder ----
     def lend(self, dispatch: Dispatch, call: ClientCall, carrier: int) -> Any:
         pipe = self.pipes.get(carrier)
         if pipe is None or pipe.closed:
-            self.desk.loop.add_callback(self.desk.dispatch_ended, dispatch, ours.OBSOLETE)  # it never left
+            self.dispatcher.loop.add_callback(self.dispatcher.dispatch_ended, dispatch, ours.OBSOLETE)  # it never left
             return _Nowhere(dispatch)
         invocation = dispatch.invocation
-        afar = self.afar[invocation.id, dispatch.number] = Afar(self, dispatch, call, pipe)
+        afar = self.afar[invocation.id, dispatch.number] = ForwardedDispatch(self, dispatch, call, pipe)
         pipe.send(
             [
                 say.CARRY,
                 invocation.id,
                 dispatch.number,
-                self.desk.marks.get(dispatch.appliance),
+                self.dispatcher.marks.get(dispatch.appliance),
                 dispatch.timeout,
                 dispatch.decision_state,
                 invocation.deadline,
@@ -147,7 +147,7 @@
             if afar is not None:
                 self._back(kind, afar, *rest)
 
-    def _back(self, kind: int, afar: Afar, *rest: Any) -> None:
+    def _back(self, kind: int, afar: ForwardedDispatch, *rest: Any) -> None:
         if kind == say.HEAD:
             head, body = rest
             afar.begin(tuple(map(tuple, head)), body)
@@ -155,17 +155,17 @@
             if afar.passing:
                 afar.call.data(rest[0])
         elif kind == say.AGAIN:
-            self.desk.ask_again(afar.dispatch)
+            self.dispatcher.ask_again(afar.dispatch)
         elif rest[0] == STALE:
             del self.afar[afar.key]
-            self.desk.stale(afar.dispatch)
+            self.dispatcher.stale(afar.dispatch)
         else:
             how, load, answer, passed = rest
             del self.afar[afar.key]
             if answer is not None:
                 head, body, tail = answer
                 answer = (tuple(map(tuple, head)), body, tuple(map(tuple, tail)))
-            self.desk.dispatch_ended(afar.dispatch, how, load, answer, passed)
+            self.dispatcher.dispatch_ended(afar.dispatch, how, load, answer, passed)
 
     # ---- the carrier ----
     def _carry(
@@ -182,23 +182,23 @@
         metadata: list,
         body: list[bytes],
     ) -> None:
-        desk, now = self.desk, self.desk.clock.now()
-        appliance = desk.appliances.get(mark)
+        dispatcher, now = self.dispatcher, self.dispatcher.clock.now()
+        appliance = dispatcher.appliances.get(mark)
         if (
             appliance is None
             or appliance.state != READY
-            or fate(now, given, desk.settings["tick"], now < expires) != GO
+            or fate(now, given, dispatcher.settings["tick"], now < expires) != GO
         ):
             pipe.send([say.CARRIED, *key, STALE, None, None, False])
             return
-        call = Borrowed(pipe, RequestHeaders(path, None, b"", [tuple(pair) for pair in metadata]), body)
+        call = RemoteClientCall(pipe, RequestHeaders(path, None, b"", [tuple(pair) for pair in metadata]), body)
         call.key = key
-        invocation = Invocation(key[0], desk.shapes[stream], now, expires, key=about)
+        invocation = Invocation(key[0], dispatcher.shapes[stream], now, expires, key=about)
         dispatch = Dispatch(appliance, patience, None, invocation, key[1], now)
         dispatch.decision_state = given
         self.carried[dispatch] = call
         self._by_key[key] = dispatch
-        call.attempt = desk.appliance_pools.start(dispatch, call)
+        call.attempt = dispatcher.appliance_pools.start(dispatch, call)
 
     def _told(self, kind: int, dispatch: Dispatch, *rest: Any) -> None:
         call = self.carried[dispatch]
@@ -218,9 +218,9 @@
 
     def may_send(self, dispatch: Dispatch) -> bool | None:
         call = self.carried[dispatch]
-        now = self.desk.clock.now()
+        now = self.dispatcher.clock.now()
         owed = now < dispatch.invocation.deadline and dispatch.appliance.state == READY
-        if fate(now, dispatch.decision_state, self.desk.settings["tick"], owed) == GO:
+        if fate(now, dispatch.decision_state, self.dispatcher.settings["tick"], owed) == GO:
             return True
         if not owed:
             return False
@@ -237,13 +237,13 @@
     ) -> None:
         call = self._done(dispatch)
         if how == ours.SUCCEEDED:
-            self.desk.bind(dispatch.invocation.key, dispatch.appliance.build)
+            self.dispatcher.bind(dispatch.invocation.key, dispatch.appliance.build)
         if answer is not None:
             head, body, tail = answer
             answer = (list(head), list(body), list(tail))
         call.pipe.send([say.CARRIED, *call.key, how, dict(load) if load else None, answer, passed])
 
-    def _done(self, dispatch: Dispatch) -> Borrowed:
+    def _done(self, dispatch: Dispatch) -> RemoteClientCall:
         call = self.carried.pop(dispatch)
         del self._by_key[call.key]
         call.attempt = None  # no cycle is left to the collector
@@ -254,8 +254,8 @@
         """Another part has gone."""
         for afar in [a for a in self.afar.values() if a.pipe is pipe]:
             del self.afar[afar.key]
-            self.desk.bind(afar.dispatch.invocation.key, afar.dispatch.appliance.build)
-            self.desk.dispatch_ended(afar.dispatch, ours.RESET, passed=afar.passing)
+            self.dispatcher.bind(afar.dispatch.invocation.key, afar.dispatch.appliance.build)
+            self.dispatcher.dispatch_ended(afar.dispatch, ours.RESET, passed=afar.passing)
         for dispatch, call in [(d, c) for d, c in self.carried.items() if c.pipe is pipe]:
             attempt = call.attempt
             self._done(dispatch)
--- a/cartweir/cores/part.py
+++ b/cartweir/cores/process.py
@@ -34,7 +34,7 @@
 from ..settings.schema import AgentDocument
 from ..wire.tap import FileTap
 from .decider import Decider
-from .desk import Desk
+from .dispatcher import Dispatcher
 from .division import accept_after
 from .pipe import Pipe
 
@@ -99,7 +99,7 @@
         self.told(json.loads(data), files)
 
 
-class Carrier:
+class WorkerProcess:
     """A carrying part."""
 
     def __init__(self, role: Role, log: Any) -> None:
@@ -115,18 +115,18 @@
         # numbers of invocations that no other part and no other life uses
         idents = itertools.count((role.life * agent.cores + role.number - 1) * LIVES + 1)
         seed = (agent.seed or int.from_bytes(os.urandom(4), "big")) * 1000 + role.number
-        self.desk = self.appliance_pools.engine_host = Desk(
+        self.dispatcher = self.appliance_pools.engine_host = Dispatcher(
             role.number, agent.cores, settings, self.clock, self.appliance_pools, self.log_event, idents, seed
         )
         bounds = front_limits(document)
         bounds.connections = math.ceil(bounds.connections / agent.cores)
         self.front = Front(
-            self.desk,
-            operations_by_path(document, self.desk.operations),
+            self.dispatcher,
+            operations_by_path(document, self.dispatcher.operations),
             bounds,
             self.clock,
             self.log_event,
-            {PEER_MESSAGE_PATH: self.desk.tell} if document.allowed.may_message else {},
+            {PEER_MESSAGE_PATH: self.dispatcher.tell} if document.allowed.may_message else {},
             tap,
         )
         self.ended = asyncio.Event()
@@ -135,13 +135,13 @@
             agent.tick,
             agent.drain_time,
             self.front,
-            lambda: self.desk.held,
-            self.desk.give_up_all,
+            lambda: self.dispatcher.held,
+            self.dispatcher.give_up_all,
             self._end,
             self.log_event,
         )
         self.control = Control(role.control, agent.heartbeat, self._told)
-        self.control.beats += [self.desk.beat, self._stalls]
+        self.control.beats += [self.dispatcher.beat, self._stalls]
 
     def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
         write_event(self.log, event, level, **facts)
@@ -159,24 +159,24 @@
 
     def _meet(self, number: int, life: int, sock: socket.socket) -> None:
         if number == DECIDER:
-            if self.desk.decider is not None:
-                self.desk.decider.close()
-                self.desk.parted(self.desk.life)
-            self.desk.meet(Pipe(sock, self.desk.hear, partial(self.desk.parted, life)), life)
+            if self.dispatcher.decider is not None:
+                self.dispatcher.decider.close()
+                self.dispatcher.parted(self.dispatcher.life)
+            self.dispatcher.meet(Pipe(sock, self.dispatcher.hear, partial(self.dispatcher.parted, life)), life)
             return
-        lending = self.desk.lending
-        if (old := lending.pipes.get(number)) is not None:
+        forwarding = self.dispatcher.forwarding
+        if (old := forwarding.pipes.get(number)) is not None:
             old.close()
-        pipe = Pipe(sock, partial(lending.heard, number), lambda: lending.lost(pipe))
-        lending.pipes[number] = pipe
+        pipe = Pipe(sock, partial(forwarding.heard, number), lambda: forwarding.lost(pipe))
+        forwarding.pipes[number] = pipe
 
     def start_up(self) -> None:
         self.front.accept_from([self.role.listening], accept_after)
         self.control.say(ready=True)
 
     def on_signal(self) -> None:
-        self.desk.leaving = True
-        self.desk.beat()
+        self.dispatcher.leaving = True
+        self.dispatcher.beat()
         self.shutdown.on_signal()
 
     def _end(self) -> None:
@@ -186,7 +186,7 @@
         self.ended.set()
 
 
-class Deciding:
+class DeciderProcess:
     """The deciding part."""
 
     def __init__(self, role: Role, log: Any) -> None:
@@ -213,7 +213,7 @@
 async def _live(role: Role) -> None:
     document = role.document
     log = make_logger(document.log.format, document.log.level, part=role.number)
-    part = (Deciding if role.number == DECIDER else Carrier)(role, log)
+    part = (DeciderProcess if role.number == DECIDER else WorkerProcess)(role, log)
     running = asyncio.get_running_loop()
     running.set_exception_handler(lambda _, context: log_unhandled_exception(part.log_event, context))
     running.add_signal_handler(signal.SIGTERM, part.on_signal)
--- a/cartweir/cores/book.py
+++ b/cartweir/cores/shared_state.py
@@ -27,7 +27,7 @@
 _COUNT_AT, _SLOT_AT, _SLOT_SIZE, _ROWS_AT = 16, 64, PAGE - 64, 64 + 2 * PAGE
 
 
-class Keys:
+class KeyFile:
     """Bound keys in a file of their own, which grows; the newest entry of a key counts."""
 
     def __init__(self, file: int) -> None:
@@ -64,7 +64,7 @@
         self._map.close()
 
 
-class Book:
+class SharedState:
     """files: those of new_files(). Raises ValueError where they are no book of this version."""
 
     def __init__(self, files: tuple[int, int, int]) -> None:
@@ -72,7 +72,7 @@
         magic, size = _HEAD.unpack_from(self._map, 0)
         if magic != _MAGIC or size != ROWS:
             raise ValueError("no book of this version")
-        self._keys = Keys(files[1]), Keys(files[2])
+        self._keys = KeyFile(files[1]), KeyFile(files[2])
         (self._count,) = _COUNT.unpack_from(self._map, _COUNT_AT)
         self._slot = max((number for number, _ in self._slots()), default=0)
         self.state: dict[str, Any] = dict(max(self._slots(), default=(0, {}), key=lambda slot: slot[0])[1])
--- a/cartweir/cores/supervisor.py
+++ b/cartweir/cores/supervisor.py
@@ -24,9 +24,9 @@
 from ..hosting.clock import monotonic
 from ..hosting.tcp import split_address
 from ..settings.schema import AgentDocument
-from .book import new_files
-from .division import Tending
-from .part import DECIDER, Role, live
+from .shared_state import new_files
+from .division import RestartPolicy
+from .process import DECIDER, Role, live
 from .pipe import pair
 
 LOOK = 50_000  # microseconds between looks at the parts
@@ -37,7 +37,7 @@
 class Child:
     """One part, through all its lives."""
 
-    def __init__(self, number: int, tending: Tending) -> None:
+    def __init__(self, number: int, tending: RestartPolicy) -> None:
         self.number, self.tending = number, tending
         self.life = 0
         self.pid = 0  # 0: does not run
@@ -62,7 +62,7 @@
         self.facts = lock_journal(agent.facts_file, ENDING) if agent.facts_file else None
         chance = random.Random(agent.seed)
         self.children = {
-            number: Child(number, Tending(agent.hang_time, chance)) for number in range(agent.cores + 1)
+            number: Child(number, RestartPolicy(agent.hang_time, chance)) for number in range(agent.cores + 1)
         }
         self.selector = selectors.DefaultSelector()
         self.signals = 0
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -6,7 +6,7 @@
 
 import peers
 import pytest
-from parts import parts, until
+from worker_harness import parts, until
 from peers import ISSUE, ORDER, TILES, VIEW, answer, framed, large, nothing
 from test_calls import sockets
 
@@ -48,7 +48,7 @@
         idents = [request["cartweir-dispatch"] for a in it.appliances for request in a.requests]
         assert len(set(idents)) == 2
         await until(lambda: not any(member.invocations for member in it.decider.members.values()))
-        assert all(not part.desk.cases and part.desk.held == 0 for part in it.parts)
+        assert all(not part.dispatcher.cases and part.dispatcher.held == 0 for part in it.parts)
 
 
 @sockets
@@ -210,7 +210,7 @@
         call = (await it.client(1)).call(ISSUE)
         await it.appliances[0].asked.wait()
         it.decider_ends()
-        await until(lambda: it.parts[0].desk.life == 0)
+        await until(lambda: it.parts[0].dispatcher.life == 0)
         go.set()
         await finish(call)
         assert call.status == "0" and call.ends == 1 and len(it.appliances[0].requests) == 1
@@ -230,7 +230,7 @@
         calls = [client.call(ISSUE), client.call(VIEW)]
         await until(lambda: sum(len(a.requests) for a in it.appliances) == 2)
         it.decider_ends()
-        await until(lambda: it.parts[0].desk.life == 0)
+        await until(lambda: it.parts[0].dispatcher.life == 0)
         go.set()
         await finish(*calls)
         it.decide()
@@ -270,7 +270,7 @@
         assert far.requests
         it.parts[0].end()
         await asyncio.wait_for(far.reset.wait(), 5)
-        await until(lambda: not it.parts[1].desk.lending.carried and 1 not in it.decider.members)
+        await until(lambda: not it.parts[1].dispatcher.forwarding.carried and 1 not in it.decider.members)
         assert it.decider.engine_host.engine.agent.open_dispatches == 0 and not it.decider.engine_host.calls
 
 
@@ -344,7 +344,7 @@
         call = (await it.client(1)).call(VIEW, cartweir_key="k1")
         await it.appliances[0].asked.wait()
         it.decider_ends()
-        await until(lambda: it.parts[0].desk.life == 0)
+        await until(lambda: it.parts[0].dispatcher.life == 0)
         if dies:
             it.parts[0].end()
         go.set()
@@ -375,7 +375,7 @@
     async with parts(tmp_path, (answer, 2), stage=TRIAL, cores=2, appliances="connections = 1") as it:
         (carrier,) = it.decider.division.may_carry(it.appliances[0].name)
         holder = it.parts[2 - carrier]
-        pipe = holder.desk.lending.pipes[carrier]
+        pipe = holder.dispatcher.forwarding.pipes[carrier]
         pipe._loop.remove_handler(pipe._sock)
         call = (await it.client(holder.number)).call(VIEW, cartweir_key="k1", timeout="1S")
         await until(lambda: it.decider.engine_host.engine.agent.bound_keys == {"k1": 2})
@@ -389,28 +389,28 @@
     """The new build's answer is here, the deciding part has not read that yet, and sends a copy to the earlier one."""
     async with parts(tmp_path, (answer, 2), stage=TRIAL, cores=2) as it:
         old = await it.add(answer, build=1)
-        desk, member = it.parts[0].desk, it.decider.members[1]
-        await it.knows(lambda desk: len(desk.appliances) == 2)
+        dispatcher, member = it.parts[0].dispatcher, it.decider.members[1]
+        await it.knows(lambda dispatcher: len(dispatcher.appliances) == 2)
         it.set(old, pb.DRAINING)  # not for the decisions; the part may meet it
         await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 1)
-        desk.appliance_list.appliances[old.name].state = "ready"
+        dispatcher.appliance_list.appliances[old.name].state = "ready"
         heard, held = member.pipe._heard, []
         member.pipe._heard = held.append
         call = (await it.client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
         await until(lambda: any(message[0] == say.TAKE for message in held))
         while held:  # it is taken, and dispatched
             heard(held.pop(0))
-        await until(lambda: any(case.answers for case in desk.cases.values()))
-        ((invocation_id, case),) = desk.cases.items()
+        await until(lambda: any(case.answers for case in dispatcher.cases.values()))
+        ((invocation_id, case),) = dispatcher.cases.items()
         assert not call.done.is_set()
-        desk.hear(
+        dispatcher.hear(
             [
                 say.DISPATCH,
                 invocation_id,
                 1,
-                desk.marks[desk.appliance_list.appliances[old.name]],
+                dispatcher.marks[dispatcher.appliance_list.appliances[old.name]],
                 500_000,
-                desk.clock.now(),
+                dispatcher.clock.now(),
                 0,
             ]
         )
@@ -431,13 +431,13 @@
     key is bound."""
     go = asyncio.Event()
     async with parts(tmp_path, (when(go), 2), stage=TRIAL, cores=2) as it:
-        desk, member = it.parts[0].desk, it.decider.members[1]
+        dispatcher, member = it.parts[0].dispatcher, it.decider.members[1]
         call = (await it.client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
         await it.appliances[0].asked.wait()
         heard, held = member.pipe._heard, []
         member.pipe._heard = held.append
         go.set()
-        await until(lambda: any(case.answers for case in desk.cases.values()))
+        await until(lambda: any(case.answers for case in dispatcher.cases.values()))
         (invocation,) = member.invocations.values()
         it.decider.engine_host.throttle(invocation, 0)
         it.decider.engine_host.cancel(invocation.dispatches[0])
@@ -464,21 +464,21 @@
     async with parts(tmp_path, (answer, 1), (answer, 2), stage=TRIAL, cores=2) as it:
         cold = await it.add(answer)
         it.registry._started[cold.name] = 1
-        await it.knows(lambda desk: len(desk.appliances) == 3)
+        await it.knows(lambda dispatcher: len(dispatcher.appliances) == 3)
         for part in it.parts:  # it has started just now, and none is cold in these settings but by
-            part.desk.settings = {**part.desk.settings, "cold_share": 0.3, "warm_time": 60_000_000}
-            part.desk.appliance_list.appliances[cold.name].started = part.clock.now()
+            part.dispatcher.settings = {**part.dispatcher.settings, "cold_share": 0.3, "warm_time": 60_000_000}
+            part.dispatcher.appliance_list.appliances[cold.name].started = part.clock.now()
         it.decider_ends()
-        await until(lambda: all(part.desk.silence.alone for part in it.parts))
+        await until(lambda: all(part.dispatcher.silence.alone for part in it.parts))
         clients = [await it.client(1), await it.client(2)]
         for part in it.parts:
-            part.desk.understudy.engine.agent.concurrency_limit = 200.0
+            part.dispatcher.understudy.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in clients for _ in range(20)]
         await finish(*calls)
         assert {call.status for call in calls} == {"0"}
         assert [len(a.requests) for a in it.appliances] == [40, 0, 0]
         it.decide()
-        await it.knows(lambda desk: not desk.silence.alone)
+        await it.knows(lambda dispatcher: not dispatcher.silence.alone)
         assert (await finish(clients[0].call(VIEW))).status == "0"
 
 
@@ -494,7 +494,7 @@
         assert call.status == "0" and len(it.appliances[0].requests) == 1
         assert it.log.of("alone")
         it.decider.loop.add_handler(member.pipe._sock, member.pipe._event, 1)
-        await until(lambda: not member.invocations and not part.desk.cases)
+        await until(lambda: not member.invocations and not part.dispatcher.cases)
         await asyncio.sleep(0.05)
         assert len(it.appliances[0].requests) == 1 and call.ends == 1
 
@@ -521,7 +521,7 @@
         await asyncio.sleep(0.06)
         still, others = it.parts[2], [await it.client(1), await it.client(2)]
         still.deaf()
-        still.desk.beat = lambda: None
+        still.dispatcher.beat = lambda: None
         it.decider.members[3].share.heard -= division.FRESH + 1
         it.decider.engine_host.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in others for _ in range(30)]
--- a/tests/test_book.py
+++ b/tests/test_shared_state.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cartweir.cores import book as module
-from cartweir.cores.book import ROWS, Book, new_files
+from cartweir.cores import shared_state as module
+from cartweir.cores.shared_state import ROWS, SharedState, new_files
 
 
 @pytest.fixture
@@ -22,45 +22,45 @@
 
 
 def test_what_was_written_is_read_by_the_next(files):
-    one = Book(files)
+    one = SharedState(files)
     one.exposed(5, 1)
     one.exposed(9, 0)
     one.bound("k1", 2)
     one.bound("k1", 3)
     one.put(stage=[2, 0, "on trial", 0.1, 77])
-    other = Book(files)
+    other = SharedState(files)
     assert other.exposures() == [(5, 1), (9, 0)] and other.keys() == {"k1": 3}
     assert other.state["stage"] == [2, 0, "on trial", 0.1, 77]
 
 
 def test_rows_wrap_and_say_how_far_back_they_reach(files):
-    one = Book(files)
+    one = SharedState(files)
     for when in range(ROWS + 10):
         one.exposed(when, 0)
     assert one.full_since() == 10 and one.exposures()[0] == (10, 0) and len(one.exposures()) == ROWS
 
 
 def test_keys_grow_and_are_kept_anew(files):
-    one, chance = Book(files), random.Random(1)
+    one, chance = SharedState(files), random.Random(1)
     wanted = {f"key {n} {'x' * chance.randrange(60)}": n % 5 for n in range(5000)}
     for key, build in wanted.items():
         one.bound(key, build)
-    assert Book(files).keys() == wanted
+    assert SharedState(files).keys() == wanted
     one.keep_keys([("k", 4)])
-    assert Book(files).keys() == {"k": 4}
+    assert SharedState(files).keys() == {"k": 4}
     one.bound("m", 5)
-    assert Book(files).keys() == {"k": 4, "m": 5}
+    assert SharedState(files).keys() == {"k": 4, "m": 5}
 
 
 def test_a_key_may_be_as_long_as_a_header(files):
-    one = Book(files)
+    one = SharedState(files)
     one.bound("ÿ" * 70_000, 2**40)
-    assert Book(files).keys() == {"ÿ" * 70_000: 2**40}
+    assert SharedState(files).keys() == {"ÿ" * 70_000: 2**40}
 
 
 def test_a_state_that_was_being_written_leaves_the_one_before(files):
     """Every byte at which its writer may have died."""
-    one = Book(files)
+    one = SharedState(files)
     one.put(a=1)
     before = os.pread(files[0], module._ROWS_AT, 0)
     one.put(a=2, b="x" * 40)
@@ -71,22 +71,22 @@
         for at in changed[:stop]:
             torn[at] = after[at]
         os.pwrite(files[0], bytes(torn), 0)
-        assert Book(files).state in ({"a": 1}, {"a": 2, "b": "x" * 40})
-    assert Book(files).state["a"] == 2
+        assert SharedState(files).state in ({"a": 1}, {"a": 2, "b": "x" * 40})
+    assert SharedState(files).state["a"] == 2
 
 
 def test_a_state_that_is_too_large_changes_nothing(files):
-    one = Book(files)
+    one = SharedState(files)
     one.put(a=1)
     with pytest.raises(ValueError, match="bytes of state"):
         one.put(b="x" * module.PAGE)
-    assert Book(files).state == one.state == {"a": 1}
+    assert SharedState(files).state == one.state == {"a": 1}
 
 
 def test_another_version_is_no_book(files):
     os.pwrite(files[0], b"\0" * 8, 0)
     with pytest.raises(ValueError, match="version"):
-        Book(files)
+        SharedState(files)
 
 
 @settings(max_examples=60, deadline=None)
@@ -99,9 +99,9 @@
 )
 def test_any_keys_come_back(entries):
     found = new_files()
-    one = Book(found)
+    one = SharedState(found)
     for key, build in entries:
         one.bound(key, build)
-    assert Book(found).keys() == dict(entries)
+    assert SharedState(found).keys() == dict(entries)
     for file in found:
         os.close(file)
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -233,11 +233,11 @@
 import sys, threading, time
 from pathlib import Path
 from tornado.ioloop import IOLoop
-from cartweir.cores import part
+from cartweir.cores import process
 from cartweir.cores.supervisor import Supervisor
 from cartweir.settings.ini import read_agent
 
-class Hangs(part.Carrier):
+class Hangs(process.WorkerProcess):
     '''Its loop stands still 300 ms after the start of its first life; a thread of it runs on.'''
     def start_up(self):
         super().start_up()
@@ -245,7 +245,7 @@
             threading.Thread(target=lambda: [time.sleep(0.01) for _ in range(10**6)], daemon=True).start()
             IOLoop.current().call_later(0.3, time.sleep, 1000)
 
-part.Carrier = Hangs
+process.WorkerProcess = Hangs
 sys.exit(Supervisor(read_agent(Path(sys.argv[1]))).run())
 """
 
--- a/tests/test_division.py
+++ b/tests/test_worker_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cartweir.cores.division import ASK, DROP, FRESH, GO, SILENT, Division, Silence, Tending, fate, trusted
+from cartweir.cores.division import ASK, DROP, FRESH, GO, SILENT, Division, DeciderMonitor, RestartPolicy, fate, trusted
 from cartweir.window import WindowBudget
 
 MS, S = 1_000, 1_000_000
@@ -72,7 +72,7 @@
 
 
 def test_silence_counts_from_when_one_could_have_listened():
-    silence = Silence(0)
+    silence = DeciderMonitor(0)
     assert silence.alone and silence.hear(10) and not silence.hear(20)
     assert not silence.look(20 + SILENT, 0) and not silence.alone
     assert not silence.look(21 + SILENT, 5 * MS)  # this part itself has only just woken
@@ -81,7 +81,7 @@
 
 
 def test_restarts_wait_longer_the_less_a_part_lives():
-    tending, now, waits = Tending(5 * S, random.Random(1)), 0, []
+    tending, now, waits = RestartPolicy(5 * S, random.Random(1)), 0, []
     for _ in range(12):
         tending.started(now)
         again = tending.again(now + MS)
@@ -93,7 +93,7 @@
 
 
 def test_a_part_hangs_once_its_beat_is_old_unless_the_watcher_stood_still():
-    tending = Tending(5 * S, random.Random(1))
+    tending = RestartPolicy(5 * S, random.Random(1))
     tending.started(0)
     assert not tending.hung(5 * S, 0) and tending.hung(5 * S + 1, 0) and not tending.hung(5 * S + 1, S)
 
--- a/tests/parts.py
+++ b/tests/worker_harness.py
@@ -17,10 +17,10 @@
 from cartweir.agent.appliance_pools import AppliancePools
 from cartweir.agent.daemon import appliance_options, build_operations, front_limits, operations_by_path
 from cartweir.agent.front import Front
-from cartweir.cores.book import Book, new_files
+from cartweir.cores.shared_state import SharedState, new_files
 from cartweir.cores.decider import Decider
-from cartweir.cores.desk import Desk
-from cartweir.cores.part import LIVES
+from cartweir.cores.dispatcher import Dispatcher
+from cartweir.cores.process import LIVES
 from cartweir.cores.pipe import Pipe, pair
 from cartweir.hosting.clock import Clock
 from cartweir.proto import agent_pb2 as pb
@@ -50,7 +50,7 @@
                 request.send(pb.Word(stage=self.stage).SerializeToString())
 
 
-class Part:
+class Worker:
     """A carrying part without its process."""
 
     def __init__(self, number: int, document: Any, log: Log) -> None:
@@ -63,7 +63,7 @@
             appliance_options(document, document.agent.cores), self.clock.now, log_event
         )
         decision_settings = {**document.decision_settings(), "operations": build_operations(document)}
-        self.desk = self.appliance_pools.engine_host = Desk(
+        self.dispatcher = self.appliance_pools.engine_host = Dispatcher(
             number,
             document.agent.cores,
             decision_settings,
@@ -74,8 +74,8 @@
             number,
         )
         self.front = Front(
-            self.desk,
-            operations_by_path(document, self.desk.operations),
+            self.dispatcher,
+            operations_by_path(document, self.dispatcher.operations),
             front_limits(document),
             self.clock,
             log_event,
@@ -85,27 +85,27 @@
         self._beat()
 
     def _beat(self) -> None:
-        self.desk.beat()
+        self.dispatcher.beat()
         self.timer = IOLoop.current().call_later(0.05, self._beat)
 
     # ---- held up ----
     def deaf(self) -> None:
         """What the deciding part says lies unread: as if this part had been stopped."""
-        pipe = self.desk.decider
+        pipe = self.dispatcher.decider
         pipe._loop.remove_handler(pipe._sock)
         pipe._loop.remove_handler = lambda sock, real=pipe._loop.remove_handler: (
             real(sock) if sock is not pipe._sock else None
         )
 
     def hears(self) -> None:
-        pipe = self.desk.decider
+        pipe = self.dispatcher.decider
         del pipe._loop.remove_handler
         pipe._loop.add_handler(pipe._sock, pipe._event, IOLoop.READ)
 
     def end(self) -> None:
         """As killed: its sockets close and nothing is said."""
         self.timer and IOLoop.current().remove_timeout(self.timer)
-        for pipe in (self.desk.decider, *self.desk.lending.pipes.values()):
+        for pipe in (self.dispatcher.decider, *self.dispatcher.forwarding.pipes.values()):
             if pipe is not None and not pipe.closed:
                 pipe._batch.clear()
                 pipe.close()
@@ -115,7 +115,7 @@
         self.appliance_pools.close()
 
 
-class Parts:
+class MulticoreAgent:
     def __init__(self, folder: Path, cores: int, more: dict[str, str]) -> None:
         self.log, self.registry, self.conveyor = Log(), Registry(), Conveyor()
         self.appliances: list[Appliance] = []
@@ -132,13 +132,13 @@
         self.files = new_files()
         self.lives = 0
         self.decider: Decider | None = None
-        self.parts = [Part(number, self.document, self.log) for number in range(1, cores + 1)]
+        self.parts = [Worker(number, self.document, self.log) for number in range(1, cores + 1)]
         for one, other in itertools.combinations(self.parts, 2):
             ends = pair()
             for part, peer, sock in ((one, other, ends[0]), (other, one, ends[1])):
-                pipe = Pipe(sock, partial(part.desk.lending.heard, peer.number), lambda: None)
-                pipe._lost = partial(part.desk.lending.lost, pipe)
-                part.desk.lending.pipes[peer.number] = pipe
+                pipe = Pipe(sock, partial(part.dispatcher.forwarding.heard, peer.number), lambda: None)
+                pipe._lost = partial(part.dispatcher.forwarding.lost, pipe)
+                part.dispatcher.forwarding.pipes[peer.number] = pipe
 
     def decide(self) -> None:
         """A deciding part starts."""
@@ -147,7 +147,7 @@
         for part in self.parts:
             ours, theirs = pair()
             self.decider.meet(part.number, ours)
-            part.desk.meet(Pipe(theirs, part.desk.hear, partial(part.desk.parted, self.lives)), self.lives)
+            part.dispatcher.meet(Pipe(theirs, part.dispatcher.hear, partial(part.dispatcher.parted, self.lives)), self.lives)
         self.decider.start_up()
 
     def decider_ends(self) -> None:
@@ -166,8 +166,8 @@
         old.engine_host.apply_stage = lambda *_: None
 
     @property
-    def book(self) -> Book:
-        return Book(self.files)
+    def book(self) -> SharedState:
+        return SharedState(self.files)
 
     async def add(self, act: Callable[..., Any], build: int = 1, run: int = 1) -> Appliance:
         appliance = Appliance(act)
@@ -190,9 +190,9 @@
         self.clients.append(client)
         return client
 
-    async def knows(self, what: Callable[[Desk], bool]) -> None:
+    async def knows(self, what: Callable[[Dispatcher], bool]) -> None:
         """Until each part that hears has been told."""
-        await until(lambda: all(what(part.desk) for part in self.parts))
+        await until(lambda: all(what(part.dispatcher) for part in self.parts))
 
 
 async def until(what: Callable[[], Any]) -> None:
@@ -203,19 +203,19 @@
 @contextlib.asynccontextmanager
 async def parts(
     folder: Path, *acts: Any, cores: int = 2, stage: tuple | None = None, **more: str
-) -> AsyncIterator[Parts]:
+) -> AsyncIterator[MulticoreAgent]:
     """acts: of one appliance each, or (act, build). stage: build, number, phase, cap."""
-    it = Parts(folder, cores, dict(more))
+    it = MulticoreAgent(folder, cores, dict(more))
     for act in acts:
         await it.add(*(act if isinstance(act, tuple) else (act,)))
     if stage is not None:
         it.conveyor.tell(*stage)
     it.decide()
     await it.knows(
-        lambda desk: (
-            len(desk.appliances) == len(acts)
-            and not desk.silence.alone
-            and (stage is None or desk.stage is not None)
+        lambda dispatcher: (
+            len(dispatcher.appliances) == len(acts)
+            and not dispatcher.silence.alone
+            and (stage is None or dispatcher.stage is not None)
         )
     )
     try:
