--- a/benchmarks/cores.py
+++ b/benchmarks/cores.py
@@ -285,7 +285,7 @@
             for backend in backends:
                 backend.terminate()
                 backend.wait()
-            registry.shut()
+            registry.shutdown()
             os.sched_setaffinity(0, set(every))
     if arguments.json:
         print(json.dumps(rows, indent=1))
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -218,7 +218,7 @@
     timers = len(daemon.engine_host.engine._timers)
     served.cancel()
     daemon._end()
-    registry.shut()
+    registry.shutdown()
     for closing in (client.sock, sock, listening):
         closing.close()
     return {
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -30,8 +30,8 @@
 from cartweir.standin.registry import Registry  # noqa: E402
 from cartweir.wire import grpc  # noqa: E402
 from cartweir.wire.calls import Channel, Service  # noqa: E402
-from cartweir.wire.link import Link  # noqa: E402
-from cartweir.wire.session import Limits  # noqa: E402
+from cartweir.wire.connection import Connection  # noqa: E402
+from cartweir.wire.session import SessionLimits  # noqa: E402
 
 PATH = "/bench.Bodies/Get"
 NEVER = 0xFFFFFFFF  # a size that is not answered
@@ -110,13 +110,13 @@
             self.front.send_headers(headers)
 
         def on_data(self, stream: Any, data: bytes) -> None:
-            stream.taken(len(data))
+            stream.acknowledge(len(data))
             self.front.send_data(data)
 
         def on_end(self, stream: Any, trailers: Any) -> None:
             self.front.send_trailers(trailers)
 
-        def on_gone(self, stream: Any, how: str, code: int) -> None: ...
+        def on_aborted(self, stream: Any, how: str, code: int) -> None: ...
         def on_sent(self, stream: Any, size: int) -> None: ...
 
     class Front:
@@ -131,23 +131,23 @@
         def on_headers(self, stream: Any, headers: Any) -> None: ...
 
         def on_data(self, stream: Any, data: bytes) -> None:
-            stream.taken(len(data))
+            stream.acknowledge(len(data))
             self.back.send_data(data)
 
         def on_end(self, stream: Any, trailers: Any) -> None:
             self.back.send_data(b"", end=True)
 
-        def on_gone(self, stream: Any, how: str, code: int) -> None: ...
+        def on_aborted(self, stream: Any, how: str, code: int) -> None: ...
         def on_sent(self, stream: Any, size: int) -> None: ...
-        def on_settled(self) -> None: ...
-        def on_closing(self, code: int) -> None: ...
+        def on_settings(self) -> None: ...
+        def on_goaway(self, code: int) -> None: ...
         def on_lost(self, link: Any, why: str) -> None: ...
 
     class Server(TCPServer):
         def handle_stream(self, stream: Any, address: Any) -> None:
-            Link(stream, False, Limits(), Front())
+            Connection(stream, False, SessionLimits(), Front())
 
-    upstream = Link(await connect(*split_address(target), 1_000_000), True, Limits(), Front())
+    upstream = Connection(await connect(*split_address(target), 1_000_000), True, SessionLimits(), Front())
     server = Server()
     server.listen(0, "127.0.0.1")
     print("127.0.0.1:%d" % next(iter(server._sockets.values())).getsockname()[1], flush=True)
@@ -156,7 +156,7 @@
 
 async def client(address: str, calls: int, at_once: int, size: int) -> None:
     """A closed loop; prints microseconds at p50 and p99, and wall time."""
-    channels = [Channel(address, 1_000_000, most=64 << 20) for _ in range(min(4, at_once))]
+    channels = [Channel(address, 1_000_000, max_message_bytes=64 << 20) for _ in range(min(4, at_once))]
     histogram = HdrHistogram(1, 60_000_000, 3)
     message, left = size.to_bytes(4, "big") + b"q" * 196, [calls]
 
@@ -348,7 +348,7 @@
         for part in (*relays.values(), backend):
             part.end()
     alone = round(decisions_alone(20_000))
-    registry.shut()
+    registry.shutdown()
     if as_json:
         print(
             json.dumps({"rows": rows, "idle_kib": memory, "held_kib": held, "decisions_us": alone}, indent=1)
--- a/cartweir/agent/appliance_pools.py
+++ b/cartweir/agent/appliance_pools.py
@@ -17,9 +17,9 @@
 from ..interface import Appliance, Dispatch
 from ..proto import health_pb2
 from ..wire import grpc
-from ..wire.grpc import BodyWalk, Headers, Malformed
-from ..wire.link import Link, Tap
-from ..wire.session import Limits, Stream
+from ..wire.connection import Connection, Tap
+from ..wire.grpc import Headers, MalformedError, MessageScanner
+from ..wire.session import SessionLimits, Stream
 from . import grpc_mapping
 from .front import ClientCall
 
@@ -40,7 +40,7 @@
     answer: int  # largest message of an answer
     hold: int  # an answer is held back up to this size
     margin: int  # before the client's time is up, a begun answer is broken off
-    limits: Limits
+    limits: SessionLimits
 
 
 class AppliancePools(ConnectionPools["Pool"]):
@@ -126,7 +126,7 @@
             self._failed(str(getattr(error, "strerror", None) or error))
             return
         owner = ApplianceLink(self)
-        owner.link = Link(stream, True, reach.limits, owner, self.appliance_pools.tap)
+        owner.link = Connection(stream, True, reach.limits, owner, self.appliance_pools.tap)
         left = began + reach.connect_timeout - self.appliance_pools.now()
         self.appliance_pools.loop.call_later(max(0, left) / 1e6, owner.unsettled)
 
@@ -169,7 +169,7 @@
 class ApplianceLink:
     """Owner of one link to an appliance."""
 
-    link: Link
+    link: Connection
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
@@ -183,7 +183,7 @@
     def room(self) -> bool:
         session = self.link.session
         return (
-            session.room
+            session.can_open_stream
             and not self.suspect
             and len(session.streams) < self.pool.appliance_pools.reach.streams
         )
@@ -192,7 +192,7 @@
     def on_stream(self, stream: Stream, headers: Headers) -> None:
         stream.reset()  # an appliance opens none
 
-    def on_settled(self) -> None:
+    def on_settings(self) -> None:
         if not self.settled:
             self.settled = True
             self.pool.settled(self)
@@ -203,12 +203,12 @@
         if not self.settled:
             self.link.close("no settings in time")
 
-    def on_closing(self, code: int) -> None:
+    def on_goaway(self, code: int) -> None:
         self.suspect = True
         self.idle_check()
         self.pool.flow()
 
-    def on_lost(self, link: Link, why: str) -> None:
+    def on_lost(self, link: Connection, why: str) -> None:
         if self._timer is not None:
             self.pool.appliance_pools.loop.remove_timeout(self._timer)
             self._timer = None
@@ -232,7 +232,7 @@
     def doubt(self) -> None:
         """An attempt on it got no answer in time: nothing new goes this way until a ping has come back, since
         a connection whose other end has vanished looks just like a slow one."""
-        if self.link.closed or self.link.session.pings_due:
+        if self.link.closed or self.link.session.pending_pings:
             return
         self._pings += 1
         payload = self._pings.to_bytes(8, "big")
@@ -244,7 +244,7 @@
     def _unanswered(self, payload: bytes) -> None:
         if self.link.closed or self.suspect:
             return
-        if payload in self.link.session.pings_due:
+        if payload in self.link.session.pending_pings:
             self.suspect = True
             self.idle_check()
 
@@ -334,7 +334,7 @@
         self.out_of_time()
 
     def _drop(self, doubt: bool) -> None:
-        if self.stream is not None and not self.stream.gone:
+        if self.stream is not None and not self.stream.closed:
             self.stream.reset()
             if doubt:
                 self._link.doubt()
@@ -362,7 +362,7 @@
         self.head: Headers = ()
         self.body: list[bytes] = []
         self.held = 0
-        self.walk = BodyWalk(appliance_pools.reach.answer)
+        self.walk = MessageScanner(appliance_pools.reach.answer)
         self.passing = False
 
     # ---- out ----
@@ -401,7 +401,7 @@
     def on_data(self, stream: Stream, data: bytes) -> None:
         try:
             self.walk.feed(data)
-        except Malformed as error:
+        except MalformedError as error:
             self.appliance_pools.log_event("bad_answer", appliance=self.dispatch.appliance.id, why=str(error))
             stream.reset()
             self._end(ours.ERROR)
@@ -409,7 +409,7 @@
         if self.passing:
             self.call.data(data)  # granted anew as the client takes it
             return
-        stream.taken(len(data))
+        stream.acknowledge(len(data))
         self.body.append(data)
         self.held += len(data)
         if self.held > self.appliance_pools.reach.hold:
@@ -431,7 +431,7 @@
         self._timer = self.appliance_pools.loop.call_later(max(0, left) / 1e6, self._out_of_time)
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
-        if not stream.said_all:
+        if not stream.end_sent:
             stream.reset(0)  # answered before it had read the whole request
         how = grpc_mapping.outcome_of(self.head, trailers, self.walk.whole)
         answer = None if self.passing or how != ours.SUCCEEDED else (self.head, self.body, trailers)
@@ -439,7 +439,7 @@
             answer = ((), [], trailers)
         self._end(how, grpc_mapping.load_of(trailers), answer)
 
-    def on_gone(self, stream: Stream, how: str, code: int) -> None:
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None:
         self._end(grpc_mapping.GONE[how])
 
     def unsent(self) -> None:
@@ -479,7 +479,7 @@
         self.head = headers
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        stream.taken(len(data))
+        stream.acknowledge(len(data))
         if len(self.body) < 1024:
             self.body += data
 
@@ -489,11 +489,11 @@
             try:
                 (message,) = grpc.messages(bytes(self.body))
                 serving = health_pb2.HealthCheckResponse.FromString(message).status == 1
-            except (Malformed, ValueError, DecodeError):
+            except (MalformedError, ValueError, DecodeError):
                 serving = False
         self._answer(serving, grpc_mapping.load_of(trailers))
 
-    def on_gone(self, stream: Stream, how: str, code: int) -> None:
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None:
         self._answer(False, None)
 
     def unsent(self) -> None:
--- a/cartweir/agent/control_plane.py
+++ b/cartweir/agent/control_plane.py
@@ -22,7 +22,7 @@
 from ..interface import Stage, Tally
 from ..proto import agent_pb2 as pb
 from ..wire.calls import CallError, Channel
-from ..wire.grpc import Malformed, Status
+from ..wire.grpc import MalformedError, Status
 from .appliance_pools import AppliancePools
 from .grpc_mapping import ANSWERS, CHOICES, PHASES, STATES
 
@@ -155,7 +155,7 @@
             except (asyncio.TimeoutError, TimeoutError):
                 why = f"no list within {self.timeout / 1000:.0f} ms"
             except (CallError, DecodeError) as error:
-                why, advice = str(error), getattr(error, "advice", 0)
+                why, advice = str(error), getattr(error, "retry_delay", 0)
             if told or not self._lost:
                 self._lost = True
                 self.log_event("registry_lost", level="warning", why=why)
@@ -361,7 +361,7 @@
                     await self._word_came(pb.Word.FromString(message))
                 why = "the news was ended"
             except (CallError, DecodeError) as error:
-                why, advice = str(error), getattr(error, "advice", 0)
+                why, advice = str(error), getattr(error, "retry_delay", 0)
             if told or not self._lost:
                 self._lost = True
                 self.log_event("conveyor_lost", level="warning", why=why)
@@ -518,9 +518,9 @@
             self.log_event("message_lost", level="debug", to=number, why=str(error))
 
     def heard(self, message: bytes) -> None:
-        """Raises Malformed."""
+        """Raises MalformedError."""
         try:
             told = pb.Figures.FromString(message)
         except DecodeError:
-            raise Malformed("no cartweir.v1.Figures") from None
+            raise MalformedError("no cartweir.v1.Figures") from None
         self.engine_host.receive_message(told.sender, list(told.figures))
--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -25,8 +25,8 @@
 from ..proto import agent_pb2 as pb
 from ..settings.schema import AgentDocument
 from ..wire.calls import Channel
-from ..wire.link import Tap
-from ..wire.session import Limits
+from ..wire.connection import Tap
+from ..wire.session import SessionLimits
 from .appliance_pools import ApplianceOptions, AppliancePools, Attempt
 from .control_plane import PEER_MESSAGE_PATH, ConveyorClient, PeerMessenger, PersistentFence, RegistryClient
 from .front import ClientCall, EventLogger, Front, FrontLimits
@@ -50,8 +50,8 @@
     )
 
 
-def session_limits(document: AgentDocument) -> Limits:
-    return Limits(document.wire.streams, document.wire.window, document.wire.header_list)
+def session_limits(document: AgentDocument) -> SessionLimits:
+    return SessionLimits(document.wire.streams, document.wire.window, document.wire.header_list)
 
 
 def journal_owner(document: AgentDocument) -> str:
@@ -94,7 +94,7 @@
     now: Callable[[], int],
     log_event: EventLogger,
     chance: random.Random,
-    limits: Limits,
+    limits: SessionLimits,
     tap: Tap | None,
     stage_fence: PersistentFence | None = None,
 ) -> tuple[RegistryClient, ConveyorClient, PeerMessenger]:
--- a/cartweir/agent/front.py
+++ b/cartweir/agent/front.py
@@ -15,9 +15,9 @@
 from ..hosting.tcp import ReadOnReadyStream, split_address
 from ..interface import Invocation, Operation
 from ..wire import grpc
-from ..wire.grpc import BodyWalk, Headers, Malformed, Status
-from ..wire.link import Link, Tap
-from ..wire.session import Limits, Stream
+from ..wire.connection import Connection, Tap
+from ..wire.grpc import Headers, MalformedError, MessageScanner, Status
+from ..wire.session import SessionLimits, Stream
 from . import grpc_mapping
 from .receive_queue import queued
 
@@ -29,7 +29,7 @@
 
     def __init__(self, connections: int, streams: int, window: int, message: int, header_list: int) -> None:
         self.connections, self.message = connections, message
-        self.limits = Limits(streams, window, header_list)
+        self.limits = SessionLimits(streams, window, header_list)
 
 
 class Front:
@@ -54,7 +54,7 @@
             log_event,
         )
         self.aside, self.tap = aside, tap
-        self.links: set[Link] = set()
+        self.links: set[Connection] = set()
         self.draining = False
         self._sockets: list[socket.socket] = []
         self._at_once = 64
@@ -154,7 +154,7 @@
             self._short = False
             self.log_event("accept_again", connections=len(self.links))
         owner = ClientLink(self, *queued(connection))
-        owner.link = Link(
+        owner.link = Connection(
             ReadOnReadyStream(connection, max_buffer_size=256 * 1024),
             False,
             self.bounds.limits,
@@ -163,13 +163,13 @@
         )
         self.links.add(owner.link)
 
-    def lost(self, link: Link, why: str) -> None:
+    def lost(self, link: Connection, why: str) -> None:
         self.links.discard(link)
         if self._full and len(self.links) < self.bounds.connections:
             self._full = False
             self._look_out()
         self._over = self._over and len(self.links) >= self.bounds.connections
-        self.log_event("client_lost", level="debug", client=link.theirs, why=why)
+        self.log_event("client_lost", level="debug", client=link.peer_address, why=why)
 
     # ---- answers under way ----
     def owe(self, call: ClientCall) -> None:
@@ -193,7 +193,7 @@
             sock.close()
         self._sockets = []
         for link in self.links:
-            link.session.say_closing()
+            link.session.send_goaway()
 
     def close(self) -> None:
         for link in list(self.links):
@@ -208,7 +208,7 @@
 class ClientLink:
     """Owner of one client's link."""
 
-    link: Link
+    link: Connection
 
     def __init__(self, front: Front, unread: int, waited: int) -> None:
         """unread: bytes that had come when it was accepted, the last of them `waited` microseconds before."""
@@ -216,14 +216,14 @@
 
     def on_stream(self, stream: Stream, headers: Headers) -> ClientCall:
         call = ClientCall(self.front, stream, headers)
-        if self.link.heard < self.unread:
+        if self.link.bytes_processed < self.unread:
             call.arrived = min(call.arrived, self.came)
         return call
 
-    def on_settled(self) -> None: ...
-    def on_closing(self, code: int) -> None: ...
+    def on_settings(self) -> None: ...
+    def on_goaway(self, code: int) -> None: ...
 
-    def on_lost(self, link: Link, why: str) -> None:
+    def on_lost(self, link: Connection, why: str) -> None:
         self.front.lost(link, why)
 
 
@@ -247,7 +247,7 @@
         self.front, self.stream = front, stream
         self.arrived = front.clock.arrival_time()
         self.body: list[bytes] = []
-        self.walk = BodyWalk(front.bounds.message)
+        self.walk = MessageScanner(front.bounds.message)
         self.invocation: Invocation | None = None
         self.source: Stream | None = None  # the appliance's stream that is passed on
         self._granted = 0  # bytes under way to the client that it was granted room for already
@@ -255,7 +255,7 @@
         self.request: grpc_mapping.RequestHeaders | None = None
         try:
             self.request = grpc_mapping.read_request(headers)
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(Status.INVALID_ARGUMENT, str(error))
             return
         if not self.request.content_type.startswith(grpc.CONTENT_TYPE):
@@ -273,12 +273,12 @@
         pass
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        stream.taken(len(data))
+        stream.acknowledge(len(data))
         if self._answered:
             return
         try:
             self.walk.feed(data)
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(
                 Status.RESOURCE_EXHAUSTED if "the most" in str(error) else Status.INTERNAL, str(error)
             )
@@ -299,11 +299,11 @@
         if (handle := front.aside.get(asked.path)) is not None:
             try:
                 handle(b"".join(self.body)[5:])
-            except Malformed as error:
+            except MalformedError as error:
                 self.refuse(Status.INVALID_ARGUMENT, str(error))
                 return
             self._answered = True
-            stream.send_headers(grpc.answer_headers())
+            stream.send_headers(grpc.response_headers())
             stream.send_data(grpc.frame(b""))
             stream.send_trailers(grpc.trailers(0))
             return
@@ -319,12 +319,12 @@
             limit,
             customer=asked.customer,
             key=asked.key,
-            hint=asked.hint,
+            work_hint=asked.hint,
             retry=asked.retry,
             write=asked.write,
         )
 
-    def on_gone(self, stream: Stream, how: str, code: int) -> None:
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None:
         """The client has left."""
         if self.invocation is not None and not self._answered:
             self._answered = True
@@ -334,7 +334,7 @@
         if self.source is not None:
             known = min(size, self._granted)
             self._granted -= known
-            self.source.taken(size - known)
+            self.source.acknowledge(size - known)
 
     # ---- the answer ----
     def refuse(self, status: int, text: str) -> None:
@@ -342,7 +342,7 @@
         self._answered = True
         self.body = []
         self.stream.send_headers(grpc_mapping.refused(status, text), end=True)
-        if not self.stream.heard_all:
+        if not self.stream.end_received:
             self.stream.reset(ErrorCodes.NO_ERROR)  # the rest of the request is not wanted
 
     def begin(self, source: Stream, head: Headers, body: list[bytes]) -> None:
@@ -383,12 +383,12 @@
 
     def _expect(self) -> None:
         """A client that does not read its answer by its time gets no more of it, and the memory is free again."""
-        if not self.stream.said_all and not self.stream.gone:
+        if not self.stream.end_sent and not self.stream.closed:
             self.front.owe(self)
 
     def unread(self, now: int) -> bool:
         """Whether there is still more to say; its time over, it is not said."""
-        if self.stream.said_all or self.stream.gone:
+        if self.stream.end_sent or self.stream.closed:
             return False
         if now >= self.invocation.deadline:
             self.front.log_event("answer_unread", invocation=self.invocation.id, queued=self.stream.queued)
--- a/cartweir/agent/grpc_mapping.py
+++ b/cartweir/agent/grpc_mapping.py
@@ -13,8 +13,8 @@
 from .. import interface as ours
 from ..proto import orca_pb2
 from ..wire import grpc
-from ..wire.grpc import Headers, Malformed, Status
-from ..wire.session import LOST, REFUSED, RESET, UNSEEN
+from ..wire.grpc import Headers, MalformedError, Status
+from ..wire.session import CONNECTION_LOST, REFUSED, RESET, UNPROCESSED
 
 # Metadata that a client may send; all of it also reaches the appliance.
 KEY, CUSTOMER, WORK = b"cartweir-key", b"cartweir-customer", b"cartweir-work"
@@ -38,7 +38,7 @@
         Status.RESOURCE_EXHAUSTED,
     )
 )
-GONE = {RESET: ours.ERROR, REFUSED: ours.FULL, UNSEEN: ours.UNCONNECTED, LOST: ours.RESET}
+GONE = {RESET: ours.ERROR, REFUSED: ours.FULL, UNPROCESSED: ours.UNCONNECTED, CONNECTION_LOST: ours.RESET}
 ANSWERS = {0: "ok", 1: "moot", 2: "full", 3: "error"}
 PHASES = (ours.ON_TRIAL, ours.GOING_BACK, ours.RELEASED, ours.WITHDRAWN)
 CHOICES = {ours.NO_VOTE: 0, ours.ON: 1, ours.HOLD: 2, ours.BACK: 3}
@@ -64,7 +64,7 @@
 
 
 def read_request(headers: Headers) -> RequestHeaders:
-    """Raises Malformed on what is no gRPC call, with the reason."""
+    """Raises MalformedError on what is no gRPC call, with the reason."""
     found: dict[bytes, bytes] = {}
     metadata = []
     for name, value in headers:
@@ -75,7 +75,7 @@
             found.setdefault(name, value)
     kind = found.get(b"content-type", b"")
     if found.get(b":method") != b"POST":
-        raise Malformed("method is not POST")
+        raise MalformedError("method is not POST")
     timeout = found.get(b"grpc-timeout")
     asked = RequestHeaders(
         found.get(b":path", b""), None if timeout is None else grpc.decode_timeout(timeout), kind, metadata
@@ -108,7 +108,7 @@
     report = orca_pb2.OrcaLoadReport()
     try:
         report.ParseFromString(grpc.decode_binary(value))
-    except (Malformed, DecodeError):
+    except (MalformedError, DecodeError):
         return None
     load = {
         name: report.named_metrics[name]
@@ -126,7 +126,7 @@
     """The trailers-only answer that says that trying again is harmless; advice in microseconds, 0 for none."""
     advice = [(grpc.PUSHBACK, b"%d" % max(1, retry_after // 1000))] if retry_after else []
     return [
-        *grpc.answer_headers(),
+        *grpc.response_headers(),
         *grpc.trailers(Status.RESOURCE_EXHAUSTED, "throttled", [(ANSWER, b"throttled"), *advice]),
     ]
 
@@ -135,9 +135,9 @@
     """The answer that promises nothing. UNKNOWN is in no library's set of statuses to retry, and the pushback says
     so once more; `begun`: headers have gone out already."""
     tail = grpc.trailers(Status.UNKNOWN, "terminated", [(ANSWER, b"terminated"), (grpc.PUSHBACK, b"-1")])
-    return tail if begun else [*grpc.answer_headers(), *tail]
+    return tail if begun else [*grpc.response_headers(), *tail]
 
 
 def refused(status: int, text: str) -> list[tuple[bytes, bytes]]:
     """For a call that is not taken at all."""
-    return [*grpc.answer_headers(), *grpc.trailers(status, text, [(grpc.PUSHBACK, b"-1")])]
+    return [*grpc.response_headers(), *grpc.trailers(status, text, [(grpc.PUSHBACK, b"-1")])]
--- a/cartweir/audit/agent_process.py
+++ b/cartweir/audit/agent_process.py
@@ -11,7 +11,7 @@
 from ..fleet.fencing import Fence
 from ..proto import agent_pb2 as pb
 from ..settings.schema import AgentDocument
-from ..wire.grpc import Malformed, decode_timeout, messages
+from ..wire.grpc import MalformedError, decode_timeout, messages
 from .breach import Breach, Rule
 from .decode import ATTEMPT_HEADER, Tap
 from .exchange import OK, Chunk, Exchange
@@ -86,7 +86,7 @@
                 break
             try:
                 message = messages(data[:size])[0]
-            except Malformed:
+            except MalformedError:
                 return
             yield chunk.at, message
             data = data[size:]
--- a/cartweir/controller/daemon.py
+++ b/cartweir/controller/daemon.py
@@ -22,7 +22,7 @@
 from ..hosting.clock import monotonic
 from ..hosting.tcp import spawn
 from ..proto import agent_pb2 as pb
-from ..wire.calls import CallError, Channel, Request, Service, come_back
+from ..wire.calls import CallError, Channel, Request, Service, retry_later
 from ..wire.grpc import Status
 from . import words
 from .host import Host
@@ -129,10 +129,10 @@
         # guards the duties against a fleet that comes back all at once
         verdict = self.admission.decide(monotonic())
         if verdict.wait is None:
-            raise come_back("too many agents begin to listen", verdict.retry_after)
+            raise retry_later("too many agents begin to listen", verdict.retry_after)
         if verdict.wait:
             await asyncio.sleep(verdict.wait / 1e6)
-        if request.gone:
+        if request.cancelled:
             return
         request.send(pb.Word(stage=self._stage()).SerializeToString())
         self._news[request] = hello.agent
@@ -155,7 +155,7 @@
             self._say_stage()
 
     def _say_stage(self) -> None:
-        self._news = {request: agent for request, agent in self._news.items() if not request.gone}
+        self._news = {request: agent for request, agent in self._news.items() if not request.cancelled}
         word = pb.Word(stage=self._stage()).SerializeToString()
         for request in self._news:
             request.send(word)
@@ -190,7 +190,7 @@
         """Of a wrong answer: to its agent, if it listens here."""
         flag = pb.Flag.FromString(request.message)
         for listener, agent in self._news.items():
-            if agent == flag.agent and not listener.gone:
+            if agent == flag.agent and not listener.cancelled:
                 listener.send(pb.Word(flag=flag).SerializeToString())
         return b""
 
@@ -202,7 +202,7 @@
             now = monotonic()
             if not host.led:
                 for request in self._news:  # they may learn more elsewhere
-                    if not request.gone:
+                    if not request.cancelled:
                         request.finish(Status.UNAVAILABLE, "no leader is heard here")
                 self._news = {}
             elif now - repeated >= self.document.waves.repeat:
@@ -493,5 +493,5 @@
     controller.start()
     why = await controller.ended
     controller.log_event("stopped", **({"why": why} if why else {}))
-    controller.shut()
+    controller.shutdown()
     return why
--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -28,14 +28,14 @@
 from ..hosting.engine_host import EngineHost
 from ..interface import Appliance, Dispatch, Invocation, Stage
 from ..settings.schema import AgentDocument
-from ..wire.grpc import Malformed
-from ..wire.link import Tap
+from ..wire.connection import Tap
+from ..wire.grpc import MalformedError
 from . import pipe as say
-from .shared_state import SharedState
 from .dispatcher import OUTCOMES, SUCCEED, TERMINATE, THROTTLE, mark_of
 from .division import Division, Share, binds, trusted
-from .snapshot import kept, put_back
 from .pipe import Pipe
+from .shared_state import SharedState
+from .snapshot import kept, put_back
 
 
 class WorkerConnection:
@@ -308,7 +308,7 @@
             invocation_id=invocation_id,
             customer=customer,
             key=key,
-            hint=hint,
+            work_hint=hint,
             retry=retry,
             write=write,
         )
@@ -369,7 +369,7 @@
     def _told(self, member: WorkerConnection, message: bytes) -> None:
         try:
             self.peers.heard(message)
-        except Malformed as error:
+        except MalformedError as error:
             self.log_event("message_bad", level="debug", why=str(error))
 
     def _bound(self, member: WorkerConnection, key: str | None, build: int) -> None:
--- a/cartweir/cores/dispatcher.py
+++ b/cartweir/cores/dispatcher.py
@@ -197,7 +197,7 @@
                 invocation.deadline - invocation.arrived_at,
                 facts.get("customer", ""),
                 facts.get("key"),
-                facts.get("hint", 0),
+                facts.get("work_hint", 0),
                 facts.get("retry", False),
                 facts.get("write", False),
             ]
--- a/cartweir/cores/forwarding.py
+++ b/cartweir/cores/forwarding.py
@@ -67,7 +67,7 @@
         self.pipe.send([say.GOES, *self.key, goes, self.dispatch.decision_state])
 
     # ---- as a Stream ----
-    def taken(self, size: int) -> None:
+    def acknowledge(self, size: int) -> None:
         self.pipe.send([say.ROOM, *self.key, size])
 
     def begin(self, head: Headers, body: list[bytes]) -> None:
@@ -208,7 +208,7 @@
             attempt.abandon(rest[0])
         elif kind == say.ROOM:
             if call.stream is not None:
-                call.stream.taken(rest[0])
+                call.stream.acknowledge(rest[0])
         else:
             goes, dispatch.decision_state = rest
             call.attempt.cleared(goes)
--- a/cartweir/cores/supervisor.py
+++ b/cartweir/cores/supervisor.py
@@ -24,10 +24,10 @@
 from ..hosting.clock import monotonic
 from ..hosting.tcp import split_address
 from ..settings.schema import AgentDocument
-from .shared_state import new_files
 from .division import RestartPolicy
-from .process import DECIDER, Role, live
 from .pipe import pair
+from .process import DECIDER, Role, live
+from .shared_state import new_files
 
 LOOK = 50_000  # microseconds between looks at the parts
 ENDING = 2.0  # seconds that parts of an agent that was killed may take to end behind it
--- a/cartweir/faults/day.py
+++ b/cartweir/faults/day.py
@@ -126,7 +126,7 @@
                     break
             await asyncio.sleep(LOOK)
 
-    def shut(self) -> None:
+    def shutdown(self) -> None:
         pass  # ended with the day: ControlledDay._stop_all
 
 
@@ -189,4 +189,4 @@
         await super()._stop_all()
         self._report.cancel()
         await self.rig.stop()
-        self.receivers.shut()
+        self.receivers.shutdown()
--- a/cartweir/node/desk.py
+++ b/cartweir/node/desk.py
@@ -15,7 +15,7 @@
 from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import connect, spawn, split_address
 from ..interface import Stage
-from . import names
+from . import protocol
 
 MOST_LINE = 64 * 1024
 CONNECT = 1_000_000  # microseconds
@@ -116,16 +116,18 @@
             self._stage(told, None)
         elif method == "report" and isinstance(told, dict):
             self.engine_host.apply_flag(
-                str(told.get("class")), str(told.get("server")), round(names.figure(told, "age_ms", 0) * 1000)
+                str(told.get("class")),
+                str(told.get("server")),
+                round(protocol.figure(told, "age_ms", 0) * 1000),
             )
         elif method == "counts" and isinstance(told, dict):
             operation = self.engine_host.operations.get(str(told.get("class")))
             if operation is not None:
-                self.engine_host.apply_tally(names.tally_of(told, operation))
+                self.engine_host.apply_tally(protocol.tally_of(told, operation))
 
     def _stage(self, told: Any, answer: str | None) -> None:
         """Raises ValueError."""
-        self.engine_host.apply_stage(names.stage_of(told, self.stages, answer))
+        self.engine_host.apply_stage(protocol.stage_of(told, self.stages, answer))
 
     # ---- votes ----
     def vote(self, build: int, stage: int, verdict: str) -> None:
@@ -139,7 +141,7 @@
             "jsonrpc": "2.0",
             "id": self._calls,
             "method": "verdict",
-            "params": {"build": build, "stage": stage, "verdict": names.VERDICTS[verdict]},
+            "params": {"build": build, "stage": stage, "verdict": protocol.VERDICTS[verdict]},
         }
         try:
             async with asyncio.timeout(self.vote_timeout / 1e6):
@@ -151,7 +153,7 @@
                     raise Lost("an answer to another call")
                 if "error" in answer:
                     message = answer["error"].get("message") if isinstance(answer["error"], dict) else None
-                    how = names.REFUSALS.get(message, "timeout") if isinstance(message, str) else "timeout"
+                    how = protocol.REFUSALS.get(message, "timeout") if isinstance(message, str) else "timeout"
                 else:
                     told, how = answer.get("result"), "ok"
         except (Lost, OSError, ValueError, StreamClosedError, TimeoutError):
--- a/cartweir/node/discovery.py
+++ b/cartweir/node/discovery.py
@@ -18,8 +18,8 @@
 from ..hosting.backoff import Backoff
 from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import READ_SIZE, connect, spawn, split_address
-from . import http1, names
-from .http1 import Malformed, Pieces
+from . import http1, protocol
+from .http1 import MalformedError, Pieces
 from .jsonstream import JsonStream
 from .links import Links
 
@@ -62,7 +62,7 @@
         self.stream.write(http1.request(b"GET", target, ((b"Host", host.encode()),)))
 
     async def read(self) -> list[Any]:
-        """The objects that have become whole with the next bytes. Raises CallFailed, Malformed and ValueError."""
+        """The objects that have become whole with the next bytes. Raises CallFailed, MalformedError and ValueError."""
         data = await self._bytes(HEARTBEAT_TIMEOUT if self.watching else ANSWER_TIMEOUT)
         self._answered = True
         found = self.objects.feed(self.reader.take(data))
@@ -161,7 +161,7 @@
                     raise CallFailed("the watch was ended")
                 if call.watching and call.objects.between_objects and self._watch is me:
                     self.engine_host.apply_list(ours.UNCHANGED)
-        except (CallFailed, Malformed, OSError, ValueError, RecursionError, StreamClosedError) as error:
+        except (CallFailed, MalformedError, OSError, ValueError, RecursionError, StreamClosedError) as error:
             failure = error
         except Exception as error:  # a fault of ours: told, and the watch is opened anew
             internal_errors.log_internal_error(self.log_event, "in a list", error)
@@ -194,7 +194,7 @@
             if len(found) != 1:
                 raise CallFailed(f"{len(found)} lists in an answer")
             self._listing(found[0], overtaken=told != self._told)
-        except (CallFailed, Malformed, OSError, ValueError, RecursionError, StreamClosedError) as error:
+        except (CallFailed, MalformedError, OSError, ValueError, RecursionError, StreamClosedError) as error:
             self.log_event("fetch_failed", level="warning", why=str(error)[:200])
             self._failed(error, began)
         except Exception as error:
@@ -255,7 +255,7 @@
         self.log_event("list", level="debug", version=self.version, named=len(told["endpoints"]))
 
     def _apply(self, how: str, entries: Any) -> None:
-        rows, unread = names.rows_of(entries, self.now())
+        rows, unread = protocol.parse_entries(entries, self.now())
         if unread:
             self.log_event("list_bad", level="warning", entries=len(unread), first=unread[0][:200])
         for row, address in rows:
--- a/cartweir/node/front.py
+++ b/cartweir/node/front.py
@@ -18,8 +18,8 @@
 from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import NonBlockingSocket, split_address
 from ..interface import FINGERPRINTED, IDEMPOTENT, Invocation, Operation
-from . import http1, names
-from .http1 import Malformed, Request, Requests
+from . import http1, protocol
+from .http1 import MalformedError, Request, Requests
 
 MS = 1000
 SILENT = 2_000 * MS  # a connection without a whole request by then is closed: a usual client asks at once
@@ -115,7 +115,7 @@
         began = self.reader.begun
         try:
             requests = self.reader.feed(data)
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(error.status, error.reason)
             return
         if not requests:  # an empty line behind a body is no request
@@ -131,7 +131,7 @@
         self.stays, self.asked = requests[0].stays, True
         try:
             self.front.take(self, requests[0])
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(error.status, error.reason)
         except Exception:  # a fault of ours, which the loop tells of: it is answered all the same
             if self.asked and self.call is None:
@@ -332,51 +332,51 @@
 
     # ---- requests ----
     def take(self, client: Client, request: Request) -> None:
-        """Raises Malformed."""
+        """Raises MalformedError."""
         arrived = self.clock.arrival_time()
         if (not client.served or self.clock.now() - arrived > HELD_UP) and client.socket.at_end():
             client.close()  # it waited outside, or we stood still: nobody waits for it any more
             return
         path = request.target.partition(b"?")[0]
-        if path == names.READY:
+        if path == protocol.READY:
             client.say(404 if self.draining else 200 if self.ready() else 503, b"")
             return
-        operation = self.operations.get(request.header(names.CLASS))
+        operation = self.operations.get(request.header(protocol.CLASS))
         if operation is None:
-            raise Malformed(404, "no such operation")
+            raise MalformedError(404, "no such operation")
         if path.split(b"/", 2)[1:2] != [operation.name.encode()]:
-            raise Malformed(400, "the path is not of the operation")
+            raise MalformedError(400, "the path is not of the operation")
         if request.method != (b"GET" if operation.effect == IDEMPOTENT else b"POST"):
-            raise Malformed(405, "not the operation's method")
+            raise MalformedError(405, "not the operation's method")
         if operation.effect == IDEMPOTENT and request.body:
-            raise Malformed(400, "a body where none is due")
-        request_id, fingerprint = request.header(names.ID), request.header(names.FINGERPRINT)
+            raise MalformedError(400, "a body where none is due")
+        request_id, fingerprint = request.header(protocol.ID), request.header(protocol.FINGERPRINT)
         if not _IDENT.fullmatch(request_id):
-            raise Malformed(400, "no id")
+            raise MalformedError(400, "no id")
         if operation.effect == FINGERPRINTED and not _IDENT.fullmatch(fingerprint):
-            raise Malformed(400, "no key against repeats")
-        limit = names.limit_of(request.header(names.LIMIT))
+            raise MalformedError(400, "no key against repeats")
+        limit = protocol.limit_of(request.header(protocol.LIMIT))
         if not limit:
-            raise Malformed(400, "no time limit, such as 480m")
+            raise MalformedError(400, "no time limit, such as 480m")
         if self.draining:  # answered before the end is forced
             limit = max(1, min(limit, self.ends_by - arrived))
         if request_id in self.calls:
-            raise Malformed(409, "a request with this id is open")
-        hint, further = request.header(names.HINT), names.further_of(request.header(names.FURTHER))
+            raise MalformedError(409, "a request with this id is open")
+        hint, further = request.header(protocol.HINT), protocol.further_of(request.header(protocol.FURTHER))
         head = [(b"X-Request-ID", request_id)]
         if fingerprint:
             head.append((b"Idempotency-Key", fingerprint))
         call = client.call = self.calls[request_id] = Call(client, request_id, head, request)
-        key = request.header(names.KEY)
+        key = request.header(protocol.KEY)
         invocation = self.engine_host.accept(
             call,
             operation,
             arrived,
             limit,
-            customer=request.header(names.CUSTOMER).decode("latin-1"),
+            customer=request.header(protocol.CUSTOMER).decode("latin-1"),
             key=key.decode("latin-1") if key else None,
-            hint=int(hint) if hint.isdigit() and len(hint) < 12 else 0,
-            retry=request.header(names.RETRY) == b"1",
+            work_hint=int(hint) if hint.isdigit() and len(hint) < 12 else 0,
+            retry=request.header(protocol.RETRY) == b"1",
             write=further.get("update") in ("1", "true"),
         )
         if call.client is not None:
--- a/cartweir/node/http1.py
+++ b/cartweir/node/http1.py
@@ -30,7 +30,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """What came is no HTTP/1.1 of the form that is due; `status` answers a request of that kind."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -113,12 +113,12 @@
 
     def _stop(self, status: int, reason: str) -> None:
         self._fault = status, reason
-        raise Malformed(status, reason)
+        raise MalformedError(status, reason)
 
     def _parse(self, data: bytes) -> None:
-        """Raises Malformed."""
+        """Raises MalformedError."""
         if self._fault is not None:
-            raise Malformed(*self._fault)
+            raise MalformedError(*self._fault)
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
@@ -126,7 +126,7 @@
         except HttpParserError as error:
             self._fault = self._fault or (400, str(error) or type(error).__name__)
         if self._fault is not None:
-            raise Malformed(*self._fault)
+            raise MalformedError(*self._fault)
         if self._in_head:  # a head that goes on and on, in pieces
             self._head_size += len(data)
             if self._head_size > MOST_HEAD:
@@ -141,7 +141,7 @@
         self._whole: list[Request] = []
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that have become whole. Raises Malformed, from then on each time."""
+        """The requests that have become whole. Raises MalformedError, from then on each time."""
         self._parse(data)
         if not self._whole:
             return []
@@ -173,13 +173,13 @@
         self.surplus = False  # more has come than belongs to it
 
     def feed(self, data: bytes) -> Answer | None:
-        """The answer, once it is whole; what comes behind it only sets `surplus`. Raises Malformed."""
+        """The answer, once it is whole; what comes behind it only sets `surplus`. Raises MalformedError."""
         if self.answer is not None:
             self.surplus = True
             return None
         try:
             self._parse(data)
-        except Malformed:
+        except MalformedError:
             if self.answer is None:
                 raise
             self.surplus = True
@@ -221,7 +221,7 @@
     most_body = None
 
     def take(self, data: bytes) -> bytes:
-        """What has come of the body. Raises Malformed."""
+        """What has come of the body. Raises MalformedError."""
         self._parse(data)
         if self.begun and self._in_head:
             return b""
--- a/cartweir/node/links.py
+++ b/cartweir/node/links.py
@@ -16,9 +16,9 @@
 from ..hosting.pools import ConnectionPools
 from ..hosting.tcp import NonBlockingSocket, PendingConnection
 from ..interface import Appliance, Dispatch
-from . import http1, names
+from . import http1, protocol
 from .front import Call
-from .http1 import Answer, Answers, Malformed
+from .http1 import Answer, Answers, MalformedError
 from .trust import Trust
 
 EventLogger = Callable[..., None]
@@ -237,7 +237,7 @@
             return
         try:
             answer = self.reader.feed(data)
-        except Malformed as error:
+        except MalformedError as error:
             self.pool.links.log_event("bad_answer", address=self.pool.address, why=error.reason[:200])
             self._lost(error.reason, ours.RESET)  # it has run, and may have been answered well
             return
@@ -373,7 +373,7 @@
     def answered(self, answer: Answer) -> None:
         if not self.over:
             self.done()
-            how = names.outcome_of(answer)
+            how = protocol.outcome_of(answer)
             self.links.engine_host.dispatch_ended(
                 self.dispatch, how, None, ((), [answer.body], ()) if how == ours.SUCCEEDED else None
             )
@@ -395,7 +395,7 @@
         self.appliance, self.patience = appliance, links.reach.probe_timeout
 
     def text(self, left: int) -> bytes:
-        return http1.request(b"GET", names.HEALTHY, ((b"Host", b"backend.local"),))
+        return http1.request(b"GET", protocol.HEALTHY, ((b"Host", b"backend.local"),))
 
     def answered(self, answer: Answer) -> None:
         self._tell(answer.status == 200)
--- a/cartweir/node/names.py
+++ b/cartweir/node/protocol.py
@@ -94,7 +94,7 @@
     )
 
 
-def rows_of(
+def parse_entries(
     entries: Any, now: int, read: Callable[[], float] = time.time
 ) -> tuple[list[tuple[ListEntry, str]], list[str]]:
     """Discovery's entries with their addresses, and those that can't be read: these say nothing, and what can't be read
--- a/cartweir/scale/controllers.py
+++ b/cartweir/scale/controllers.py
@@ -131,7 +131,7 @@
         shutil.rmtree(self.folder)
 
     async def _stop(self) -> None:
-        self.controller.shut()
+        self.controller.shutdown()
         self.store.close()
 
 
--- a/cartweir/scale/node_lists.py
+++ b/cartweir/scale/node_lists.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..hosting.tcp import READ_SIZE
-from ..node import names
+from ..node import protocol
 from ..node.discovery import MAX_LIST_BYTES
 from ..node.jsonstream import JsonStream
 from .meter import Meter, metering
@@ -61,5 +61,5 @@
         with metering(meter):
             for piece in pieces:
                 for told in stream.feed(piece):
-                    rows, _ = names.rows_of(told["endpoints"], SECOND)
+                    rows, _ = protocol.parse_entries(told["endpoints"], SECOND)
                     self.engine_host.apply_list("whole", [row for row, _ in rows])
--- a/cartweir/standin/appliance.py
+++ b/cartweir/standin/appliance.py
@@ -18,8 +18,8 @@
 from ..proto import health_pb2, orca_pb2
 from ..wire import grpc
 from ..wire.calls import CallError, Request, Service
+from ..wire.connection import Tap
 from ..wire.grpc import Status
-from ..wire.link import Tap
 from .registry import Registry
 
 MARK, OPERATION = b"x-mark", b"x-operation"  # a client's mark against repeats, and the name of the operation
@@ -102,7 +102,7 @@
         self.fleet: Any = None  # where it stands
         self.on_wrong: Any = None  # called with agent, operation and self when an answer was wrong
         self.handlers["/grpc.health.v1.Health/Check"] = self._check
-        self.default = self._serve
+        self.default_handler = self._serve
 
     # ---- capacity ----
     def warmth(self) -> float:
@@ -142,7 +142,7 @@
         self.holding += 1
         try:
             async with self._cores:
-                if request.gone:
+                if request.cancelled:
                     return None
                 if not repeat:
                     slow = self.faults.slow * (quality.slow if bad else 1.0)
@@ -189,14 +189,14 @@
     def pause(self, time: int) -> None:
         """Stands still: reads nothing and says nothing."""
         self._running.clear()
-        for link in self.links:
+        for link in self.connections:
             link.pause()
         asyncio.get_running_loop().call_later(time / 1e6, self.resume)
 
     def resume(self) -> None:
         if not self.down:
             self._running.set()
-            for link in self.links:
+            for link in self.connections:
                 link.resume()
             kept, self._kept = self._kept, []
             for stream, address in kept:
@@ -222,7 +222,7 @@
         """No reset, no answer, until stopped."""
         self.down = True
         self._running.clear()
-        for link in self.links:
+        for link in self.connections:
             link.pause()
 
 
@@ -300,12 +300,12 @@
             self.enter(machine, pb.GONE)
             self.log_event("stopped", ident=machine.ident)
             machine.silence()
-            machine.shut()
+            machine.shutdown()
 
     def restart(self, machine: Appliance) -> Appliance:
         """The same place and ident, as a new process that comes cold."""
         self.machines.pop(machine.ident, None)
-        machine.shut()
+        machine.shutdown()
         return self.launch(machine.build, ident=machine.ident)
 
     def steer(self, who: str, what: str, value: float) -> None:
--- a/cartweir/standin/clients.py
+++ b/cartweir/standin/clients.py
@@ -14,8 +14,8 @@
 from ..hosting.clock import monotonic
 from ..wire import grpc
 from ..wire.calls import CallError, Channel
+from ..wire.connection import Tap
 from ..wire.grpc import Status
-from ..wire.link import Tap
 from .appliance import MARK, OPERATION
 
 
--- a/cartweir/standin/conveyor.py
+++ b/cartweir/standin/conveyor.py
@@ -14,7 +14,7 @@
 from ..proto import agent_pb2 as pb
 from ..settings.schema import ReleaseSection
 from ..wire.calls import Request, Service
-from ..wire.link import Tap
+from ..wire.connection import Tap
 from .appliance import Appliance, Fleet
 
 OK, MOOT, FULL, ERROR = range(4)
@@ -79,7 +79,7 @@
         self._news[request] = hello.agent
 
     def _tell(self) -> None:
-        self._news = {request: agent for request, agent in self._news.items() if not request.gone}
+        self._news = {request: agent for request, agent in self._news.items() if not request.cancelled}
         word = pb.Word(stage=self._stage()).SerializeToString()
         for request in self._news:
             request.send(word)
@@ -234,7 +234,7 @@
 
     def flag(self, flag: pb.Flag) -> None:
         for request, agent in self._news.items():
-            if agent == flag.agent and not request.gone:
+            if agent == flag.agent and not request.cancelled:
                 request.send(pb.Word(flag=flag).SerializeToString())
 
     def gone(self, gone: bool) -> None:
@@ -243,7 +243,7 @@
             self._port = self.port
             self.stop()
             self._sockets.clear()
-            for link in list(self.links):
+            for link in list(self.connections):
                 link.close("the conveyor is gone")
         else:
             self.listen(self._port, "127.0.0.1")
--- a/cartweir/standin/day.py
+++ b/cartweir/standin/day.py
@@ -173,8 +173,8 @@
             await self._play()
         finally:
             await self._stop_all()
-            self.registry.shut()
-            self.conveyor.shut()
+            self.registry.shutdown()
+            self.conveyor.shutdown()
             self._facts.close()
         return audit(self.folder)
 
--- a/cartweir/standin/registry.py
+++ b/cartweir/standin/registry.py
@@ -11,9 +11,9 @@
 from ..fleet.list_filter import registry_incarnation
 from ..hosting.clock import monotonic
 from ..proto import agent_pb2 as pb
-from ..wire.calls import CallError, Request, Service, come_back
+from ..wire.calls import CallError, Request, Service, retry_later
+from ..wire.connection import Tap
 from ..wire.grpc import Status
-from ..wire.link import Tap
 
 PUT = "/cartweir.standin.Registry/Put"  # how appliances of other processes enter themselves
 CHANGES = 512  # that are remembered
@@ -77,7 +77,7 @@
         return entry
 
     def _tell(self, listing: pb.Listing) -> None:
-        self._watches = {watch for watch in self._watches if not watch.gone}
+        self._watches = {watch for watch in self._watches if not watch.cancelled}
         for watch in self._watches:
             if pb.Hello.FromString(watch.message).agent not in self.views:
                 watch.send(listing.SerializeToString())
@@ -129,7 +129,7 @@
             verdict = self.admission.decide(monotonic())
             if verdict.wait is None:
                 self.counts["refused"] += 1
-                raise come_back("too many ask for lists", verdict.retry_after)
+                raise retry_later("too many ask for lists", verdict.retry_after)
             await asyncio.sleep(verdict.wait / 1e6)
         hello = pb.Hello.FromString(request.message)
         if hello.agent in self.views:  # as a copy that lags answers: whole, of its own age
@@ -147,7 +147,7 @@
 
     async def _watch(self, request: Request) -> None:
         listing = await self._list(request)
-        if listing is not None and not request.gone:
+        if listing is not None and not request.cancelled:
             request.send(listing)
             self._watches.add(request)
 
@@ -174,7 +174,7 @@
         return self.incarnation, self.version, dict(self.entries)
 
     def _break(self, why: str) -> None:
-        for link in list(self.links):
+        for link in list(self.connections):
             link.close(why)
 
     def fail(self, failing: bool) -> None:
--- a/cartweir/wire/calls.py
+++ b/cartweir/wire/calls.py
@@ -13,9 +13,9 @@
 
 from ..hosting.tcp import connect, spawn, split_address
 from . import grpc
-from .grpc import BodyWalk, Headers, Malformed, Status
-from .link import Link, Tap
-from .session import LOST, REFUSED, UNSEEN, Limits, Stream
+from .connection import Connection, Tap
+from .grpc import Headers, MalformedError, MessageScanner, Status
+from .session import CONNECTION_LOST, REFUSED, UNPROCESSED, SessionLimits, Stream
 
 Metadata = Iterable[tuple[bytes, bytes]]
 
@@ -28,15 +28,15 @@
         self.status, self.text, self.never_ran, self.metadata = status, text, never_ran, metadata
 
     @property
-    def advice(self) -> int:
+    def retry_delay(self) -> int:
         """Microseconds after which the other side wants to be asked again; 0: it does not say."""
         said = grpc.find(self.metadata, grpc.PUSHBACK) or b""
         return int(said) * 1000 if said.isdigit() and len(said) < 8 else 0
 
 
-def come_back(text: str, advice: int) -> CallError:
+def retry_later(text: str, retry_delay: int) -> CallError:
     """The refusal of one that is to ask again after so many microseconds: nothing ran."""
-    return CallError(Status.UNAVAILABLE, text, True, [(grpc.PUSHBACK, b"%d" % max(1, advice // 1000))])
+    return CallError(Status.UNAVAILABLE, text, True, [(grpc.PUSHBACK, b"%d" % max(1, retry_delay // 1000))])
 
 
 @dataclass(slots=True)
@@ -49,15 +49,15 @@
 class _Call:
     """Listener of one call of ours: messages and the end go into a queue."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_message_bytes: int) -> None:
         self.queue: asyncio.Queue = asyncio.Queue()
-        self.walk, self.body, self.head = BodyWalk(most), bytearray(), ()
+        self.walk, self.body, self.head = MessageScanner(max_message_bytes), bytearray(), ()
 
     def on_headers(self, stream: Stream, headers: Headers) -> None:
         self.head = headers
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        stream.taken(len(data))
+        stream.acknowledge(len(data))
         self.body += data
         try:
             self.walk.feed(data)
@@ -66,7 +66,7 @@
             ):
                 self.queue.put_nowait(bytes(self.body[5:due]))
                 del self.body[:due]
-        except Malformed as error:
+        except MalformedError as error:
             stream.reset()
             self.queue.put_nowait(CallError(Status.INTERNAL, str(error)))
 
@@ -84,8 +84,8 @@
                 )
             )
 
-    def on_gone(self, stream: Stream, how: str, code: int) -> None:
-        self.queue.put_nowait(CallError(Status.UNAVAILABLE, f"call {how}", how in (REFUSED, UNSEEN)))
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None:
+        self.queue.put_nowait(CallError(Status.UNAVAILABLE, f"call {how}", how in (REFUSED, UNPROCESSED)))
 
     def on_sent(self, stream: Stream, size: int) -> None:
         pass
@@ -98,50 +98,50 @@
         self,
         address: str,
         connect_timeout: int,
-        limits: Limits = Limits(),
+        limits: SessionLimits = SessionLimits(),
         tap: Tap | None = None,
-        most: int = 4 << 20,
+        max_message_bytes: int = 4 << 20,
     ) -> None:
-        self.address, self.connect_timeout, self.limits, self.tap, self.most = (
+        self.address, self.connect_timeout, self.limits, self.tap, self.max_message_bytes = (
             address,
             connect_timeout,
             limits,
             tap,
-            most,
+            max_message_bytes,
         )
-        self._link: Link | None = None
+        self._link: Connection | None = None
         self._opening: asyncio.Future | None = None
 
     # ---- the link's owner ----
     def on_stream(self, stream: Stream, headers: Headers) -> None:
         stream.reset(ErrorCodes.PROTOCOL_ERROR)
 
-    def on_settled(self) -> None:
+    def on_settings(self) -> None:
         pass
 
-    def on_closing(self, code: int) -> None:
+    def on_goaway(self, code: int) -> None:
         self._link = None
 
-    def on_lost(self, link: Link, why: str) -> None:
+    def on_lost(self, link: Connection, why: str) -> None:
         if self._link is link:
             self._link = None
 
-    async def _ready(self) -> Link:
-        if self._link is not None and not self._link.closed and self._link.session.room:
+    async def _ready(self) -> Connection:
+        if self._link is not None and not self._link.closed and self._link.session.can_open_stream:
             return self._link
         if self._opening is None:
             self._opening = asyncio.ensure_future(self._open())
             self._opening.add_done_callback(self._opened)
         return await asyncio.shield(self._opening)
 
-    async def _open(self) -> Link:
+    async def _open(self) -> Connection:
         try:
             stream = await connect(*split_address(self.address), self.connect_timeout)
         except OSError as error:
             raise CallError(Status.UNAVAILABLE, f"{self.address}: {error.strerror or error}", True) from None
         if stream.closed():  # broken by the other side before this turn
             raise CallError(Status.UNAVAILABLE, f"{self.address}: broke as it was made", True)
-        self._link = Link(stream, True, self.limits, self, self.tap)
+        self._link = Connection(stream, True, self.limits, self, self.tap)
         return self._link
 
     def _opened(self, done: asyncio.Future) -> None:
@@ -152,7 +152,7 @@
     async def _start(
         self, path: str, message: bytes, timeout: int | None, metadata: Metadata
     ) -> tuple[Stream, _Call]:
-        link, call = await self._ready(), _Call(self.most)
+        link, call = await self._ready(), _Call(self.max_message_bytes)
         headers = grpc.request_headers(path.encode(), self.address.encode(), timeout, metadata)
         try:
             stream = link.session.open(headers, call)
@@ -213,8 +213,8 @@
     headers: Headers
     message: bytes
     stream: Stream
-    link: Link
-    gone: bool = False  # the client has left
+    connection: Connection
+    cancelled: bool = False  # the client has left
     trailers: list = field(default_factory=list)  # metadata to go behind the answer
     _started: bool = False
 
@@ -222,7 +222,7 @@
         """One message of the answer, behind those sent before."""
         if not self._started:
             self._started = True
-            self.stream.send_headers(grpc.answer_headers())
+            self.stream.send_headers(grpc.response_headers())
         self.stream.send_data(grpc.frame(message))
 
     def finish(self, status: int = 0, text: str = "") -> None:
@@ -230,7 +230,7 @@
         if self._started:
             self.stream.send_trailers(tail)
         else:
-            self.stream.send_headers([*grpc.answer_headers(), *tail], end=True)
+            self.stream.send_headers([*grpc.response_headers(), *tail], end=True)
 
     # ---- as the stream's listener, while the answer is under way ----
     def on_headers(self, stream: Stream, headers: Headers) -> None: ...
@@ -238,8 +238,8 @@
     def on_end(self, stream: Stream, trailers: Headers) -> None: ...
     def on_sent(self, stream: Stream, size: int) -> None: ...
 
-    def on_gone(self, stream: Stream, how: str, code: int) -> None:
-        self.gone = True
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None:
+        self.cancelled = True
 
 
 Handler = Callable[[Request], Awaitable[bytes | None]]
@@ -248,43 +248,43 @@
 class _Coming:
     """Listener of a request until it is whole."""
 
-    def __init__(self, service: Service, link: Link, headers: Headers) -> None:
-        self.service, self.link, self.headers = service, link, headers
-        self.body, self.walk = bytearray(), BodyWalk(service.most)
+    def __init__(self, service: Service, link: Connection, headers: Headers) -> None:
+        self.service, self.connection, self.headers = service, link, headers
+        self.body, self.walk = bytearray(), MessageScanner(service.max_message_bytes)
 
     def on_headers(self, stream: Stream, headers: Headers) -> None: ...
     def on_sent(self, stream: Stream, size: int) -> None: ...
-    def on_gone(self, stream: Stream, how: str, code: int) -> None: ...
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None: ...
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        stream.taken(len(data))
+        stream.acknowledge(len(data))
         self.body += data
         try:
             self.walk.feed(data)
-        except Malformed as error:
+        except MalformedError as error:
             self._refuse(
                 stream, Status.RESOURCE_EXHAUSTED if self.walk.messages == 0 else Status.INTERNAL, str(error)
             )
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
-        if stream.gone:
+        if stream.closed:
             return
         try:
             (message,) = grpc.messages(bytes(self.body))
-        except (Malformed, ValueError) as error:
+        except (MalformedError, ValueError) as error:
             self._refuse(stream, Status.INTERNAL, f"one message is due: {error}")
             return
         path = (grpc.find(self.headers, b":path") or b"").decode("latin-1")
-        request = Request(path, self.headers, message, stream, self.link)
+        request = Request(path, self.headers, message, stream, self.connection)
         stream.listener = request
-        handler = self.service.handlers.get(path, self.service.default)
+        handler = self.service.handlers.get(path, self.service.default_handler)
         if handler is None:
             request.finish(Status.UNIMPLEMENTED, f"no method {path}")
         else:
             spawn(self.service.handle(handler, request))
 
     def _refuse(self, stream: Stream, status: int, text: str) -> None:
-        stream.send_headers([*grpc.answer_headers(), *grpc.trailers(status, text)], end=True)
+        stream.send_headers([*grpc.response_headers(), *grpc.trailers(status, text)], end=True)
         stream.reset(ErrorCodes.NO_ERROR)
 
 
@@ -292,19 +292,24 @@
     """Serves handlers by path. A handler returns the one message of its answer, or None if it has sent and
     finished by itself; a CallError that it raises is the answer."""
 
-    def __init__(self, limits: Limits = Limits(), tap: Tap | None = None, most: int = 4 << 20) -> None:
+    def __init__(
+        self,
+        limits: SessionLimits = SessionLimits(),
+        tap: Tap | None = None,
+        max_message_bytes: int = 4 << 20,
+    ) -> None:
         super().__init__(max_buffer_size=256 * 1024)
-        self.limits, self.tap, self.most = limits, tap, most
+        self.limits, self.tap, self.max_message_bytes = limits, tap, max_message_bytes
         self.handlers: dict[str, Handler] = {}
-        self.default: Handler | None = None  # for every other path
-        self.links: set[Link] = set()
+        self.default_handler: Handler | None = None  # for every other path
+        self.connections: set[Connection] = set()
         self.accepted = 0  # connections, since the start
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
         self.accepted += 1
         owner = _Accepted(self)
-        owner.link = Link(stream, False, self.limits, owner, self.tap)
-        self.links.add(owner.link)
+        owner.connection = Connection(stream, False, self.limits, owner, self.tap)
+        self.connections.add(owner.connection)
 
     def listen_on(self, address: str) -> str:
         """Returns the address with the port it got. Raises OSError."""
@@ -327,26 +332,26 @@
     def port(self) -> int:
         return next(iter(self._sockets.values())).getsockname()[1]
 
-    def shut(self) -> None:
+    def shutdown(self) -> None:
         self.stop()
-        for link in list(self.links):
+        for link in list(self.connections):
             link.close("service shut")
 
 
 class _Accepted:
-    link: Link
+    connection: Connection
 
     def __init__(self, service: Service) -> None:
         self.service = service
 
     def on_stream(self, stream: Stream, headers: Headers) -> _Coming:
-        return _Coming(self.service, self.link, headers)
+        return _Coming(self.service, self.connection, headers)
 
-    def on_settled(self) -> None: ...
-    def on_closing(self, code: int) -> None: ...
+    def on_settings(self) -> None: ...
+    def on_goaway(self, code: int) -> None: ...
 
-    def on_lost(self, link: Link, why: str) -> None:
-        self.service.links.discard(link)
+    def on_lost(self, link: Connection, why: str) -> None:
+        self.service.connections.discard(link)
 
 
-__all__ = ["LOST", "Answer", "CallError", "Channel", "Request", "Service"]
+__all__ = ["Answer", "CallError", "Channel", "Request", "Service"]
--- a/cartweir/wire/link.py
+++ b/cartweir/wire/connection.py
@@ -11,7 +11,7 @@
 
 from ..hosting.tcp import READ_SIZE
 from .grpc import Headers
-from .session import Limits, Listener, Session, Stream
+from .session import Session, SessionLimits, Stream, StreamListener
 
 MOST_UNSENT = (
     256 * 1024
@@ -26,24 +26,24 @@
     def closed(self, link: int, why: str) -> None: ...
 
 
-class LinkOwner(Protocol):
+class ConnectionOwner(Protocol):
     """Whoever opened or accepted the link."""
 
-    def on_stream(self, stream: Stream, headers: Headers) -> Listener: ...
-    def on_settled(self) -> None: ...
-    def on_closing(self, code: int) -> None: ...
-    def on_lost(self, link: Link, why: str) -> None: ...
+    def on_stream(self, stream: Stream, headers: Headers) -> StreamListener: ...
+    def on_settings(self) -> None: ...
+    def on_goaway(self, code: int) -> None: ...
+    def on_lost(self, link: Connection, why: str) -> None: ...
 
 
-class Link:
+class Connection:
     """Owns an IOStream until it is closed. Streams are opened through `session`."""
 
     def __init__(
         self,
         stream: IOStream,
         client: bool,
-        limits: Limits,
-        owner: LinkOwner,
+        limits: SessionLimits,
+        owner: ConnectionOwner,
         tap: Tap | None = None,
     ) -> None:
         self._stream, self._owner, self._tap = stream, owner, tap
@@ -51,10 +51,13 @@
         self.session.wake = self._wake
         self._scheduled = self._closed = False
         self._unsent = 0
-        self.heard = 0  # bytes dealt with, before those that are being dealt with now
+        self.bytes_processed = 0  # bytes dealt with, before those that are being dealt with now
         stream.set_nodelay(True)
-        self.ours, self.theirs = _name(stream.socket, "getsockname"), _name(stream.socket, "getpeername")
-        self._number = tap.opened(self.ours, self.theirs) if tap else 0
+        self.local_address, self.peer_address = (
+            _name(stream.socket, "getsockname"),
+            _name(stream.socket, "getpeername"),
+        )
+        self._number = tap.opened(self.local_address, self.peer_address) if tap else 0
         self._paused: asyncio.Event | None = None
         self._loop = IOLoop.current()
         self._wake()
@@ -73,7 +76,7 @@
                 if self._tap:
                     self._tap.passed(self._number, False, data)
                 self.session.receive(data)
-                self.heard += len(data)
+                self.bytes_processed += len(data)
                 if self.session.broken:
                     why = self.session.broken
                     break
@@ -85,7 +88,7 @@
         except Exception as error:  # noqa: BLE001 - a fault of ours ends this link, and is told
             why = f"internal error: {error!r}"
             asyncio.get_running_loop().call_exception_handler(
-                {"message": f"link {self.theirs}", "exception": error}
+                {"message": f"link {self.peer_address}", "exception": error}
             )
         self.close(why)
 
@@ -109,7 +112,7 @@
         self._scheduled = False
         if self._closed:
             return
-        data = self.session.pump(MOST_UNSENT - self._unsent)
+        data = self.session.take_output(MOST_UNSENT - self._unsent)
         if data:
             if self._tap:
                 self._tap.passed(self._number, True, data)
--- a/cartweir/wire/grpc.py
+++ b/cartweir/wire/grpc.py
@@ -41,7 +41,7 @@
     UNAUTHENTICATED = 16
 
 
-class Malformed(ValueError):
+class MalformedError(ValueError):
     """Input that does not follow the protocol; the text says where and why."""
 
 
@@ -51,10 +51,12 @@
 
 
 def decode_timeout(value: bytes) -> int:
-    """Microseconds, rounded down. Raises Malformed."""
+    """Microseconds, rounded down. Raises MalformedError."""
     found = _TIMEOUT.fullmatch(value)
     if found is None:
-        raise Malformed(f"grpc-timeout {value[:20]!r}: one to eight digits and one of H M S m u n are due")
+        raise MalformedError(
+            f"grpc-timeout {value[:20]!r}: one to eight digits and one of H M S m u n are due"
+        )
     return int(int(found[1]) * _UNITS[found[2]])
 
 
@@ -85,11 +87,11 @@
 
 
 def decode_binary(value: bytes) -> bytes:
-    """Value of a -bin header, padded or not. Raises Malformed."""
+    """Value of a -bin header, padded or not. Raises MalformedError."""
     try:
         return base64.b64decode(value + b"=" * (-len(value) % 4), validate=True)
     except binascii.Error as error:
-        raise Malformed(f"binary metadata is not base64 ({error})") from None
+        raise MalformedError(f"binary metadata is not base64 ({error})") from None
 
 
 # ---- headers ----------------------------------------------------------------------------------------
@@ -121,7 +123,7 @@
     return headers
 
 
-def answer_headers(metadata: Iterable[tuple[bytes, bytes]] = ()) -> list[tuple[bytes, bytes]]:
+def response_headers(metadata: Iterable[tuple[bytes, bytes]] = ()) -> list[tuple[bytes, bytes]]:
     return [(b":status", b"200"), (b"content-type", CONTENT_TYPE), *metadata]
 
 
@@ -163,7 +165,7 @@
     return PREFIX.pack(0, len(message)) + message
 
 
-class BodyWalk:
+class MessageScanner:
     """Follows the length prefixes through a body that comes in pieces, and keeps none of it."""
 
     __slots__ = ("most", "messages", "_head", "_left")
@@ -175,7 +177,7 @@
         self._left = -1  # bytes due of the message under way; -1: a prefix is due
 
     def feed(self, piece: bytes) -> None:
-        """Raises Malformed on a flag that is neither 0 nor 1 or on a message over the bound."""
+        """Raises MalformedError on a flag that is neither 0 nor 1 or on a message over the bound."""
         at, size = 0, len(piece)
         while at < size:
             if self._left < 0:
@@ -187,9 +189,9 @@
                 flag, self._left = PREFIX.unpack(self._head)
                 self._head = b""
                 if flag > 1:
-                    raise Malformed(f"compressed flag is {flag}, where 0 or 1 is due")
+                    raise MalformedError(f"compressed flag is {flag}, where 0 or 1 is due")
                 if self._left > self.most:
-                    raise Malformed(f"message of {self._left} bytes, where {self.most} are the most")
+                    raise MalformedError(f"message of {self._left} bytes, where {self.most} are the most")
             taken = min(self._left, size - at)
             at, self._left = at + taken, self._left - taken
             if self._left == 0:
@@ -202,16 +204,16 @@
 
 
 def messages(body: bytes) -> list[bytes]:
-    """The messages of a whole, uncompressed body. Raises Malformed."""
+    """The messages of a whole, uncompressed body. Raises MalformedError."""
     found, at = [], 0
     while at < len(body):
         if at + 5 > len(body):
-            raise Malformed("body ends within a length prefix")
+            raise MalformedError("body ends within a length prefix")
         flag, size = PREFIX.unpack_from(body, at)
         if flag:
-            raise Malformed("compressed message where none was negotiated")
+            raise MalformedError("compressed message where none was negotiated")
         if at + 5 + size > len(body):
-            raise Malformed(f"length prefix says {size} bytes, {len(body) - at - 5} are there")
+            raise MalformedError(f"length prefix says {size} bytes, {len(body) - at - 5} are there")
         found.append(body[at + 5 : at + 5 + size])
         at += 5 + size
     return found
--- a/cartweir/wire/session.py
+++ b/cartweir/wire/session.py
@@ -23,11 +23,11 @@
 
 WIDEST = 2**31 - 1
 # How a stream can end before its time, as far as its work is concerned.
-RESET, REFUSED, UNSEEN, LOST = "reset", "refused", "unseen", "lost"
+RESET, REFUSED, UNPROCESSED, CONNECTION_LOST = "reset", "refused", "unseen", "lost"
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class SessionLimits:
     """What this side grants the other; sizes in bytes."""
 
     streams: int = 1000  # at once, opened by the other side
@@ -35,18 +35,18 @@
     header_list: int = 32 * 1024  # of one header block, as HTTP/2 counts it
 
 
-class Listener(Protocol):
+class StreamListener(Protocol):
     """Hears what happens on one stream. May send on it, or reset it, from within."""
 
     def on_headers(self, stream: Stream, headers: Headers) -> None: ...
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        """The reader owes a stream.taken(len(data)) once it has room for more."""
+        """The reader owes a stream.acknowledge(len(data)) once it has room for more."""
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
         """The other side has said all; trailers may be empty, or all there is of the answer."""
 
-    def on_gone(self, stream: Stream, how: str, code: int) -> None:
+    def on_aborted(self, stream: Stream, how: str, code: int) -> None:
         """Ended before its time: RESET by the other side, REFUSED or UNSEEN (it never ran), LOST with the link."""
 
     def on_sent(self, stream: Stream, size: int) -> None:
@@ -54,13 +54,13 @@
 
 
 class Owner(Protocol):
-    def on_stream(self, stream: Stream, headers: Headers) -> Listener:
+    def on_stream(self, stream: Stream, headers: Headers) -> StreamListener:
         """A server's: the other side opened a stream."""
 
-    def on_settled(self) -> None:
+    def on_settings(self) -> None:
         """The other side's settings have come or changed."""
 
-    def on_closing(self, code: int) -> None:
+    def on_goaway(self, code: int) -> None:
         """GOAWAY: no new stream can be opened here."""
 
 
@@ -77,12 +77,12 @@
         "_ending",
         "_got_headers",
         "_untaken",
-        "said_all",
-        "heard_all",
-        "gone",
+        "end_sent",
+        "end_received",
+        "closed",
     )
 
-    def __init__(self, session: Session, stream_id: int, listener: Listener | None) -> None:
+    def __init__(self, session: Session, stream_id: int, listener: StreamListener | None) -> None:
         self.session, self.id, self.listener = session, stream_id, listener
         self._queue: deque[memoryview] = deque()
         self.queued = 0  # bytes that wait for the windows
@@ -90,15 +90,15 @@
         self._ending = False
         self._got_headers = False
         self._untaken = 0  # bytes taken by the reader, but not yet granted anew
-        self.said_all = self.heard_all = self.gone = False
+        self.end_sent = self.end_received = self.closed = False
 
     def send_headers(self, headers: Headers, end: bool = False) -> None:
-        if not self.gone:
+        if not self.closed:
             self.session._send_headers(self, headers, end)
 
     def send_data(self, data: bytes, end: bool = False) -> None:
         """Queued until the windows let it out."""
-        if self.gone or self._ending:
+        if self.closed or self._ending:
             return
         if data:
             self._queue.append(memoryview(data))
@@ -108,15 +108,15 @@
 
     def send_trailers(self, headers: Headers) -> None:
         """Ends our side, behind what is queued."""
-        if self.gone or self._ending:
+        if self.closed or self._ending:
             return
         self._tail, self._ending = headers, True
         self.session._ready(self)
 
-    def taken(self, size: int) -> None:
+    def acknowledge(self, size: int) -> None:
         """The reader has room for so many bytes more."""
         self._untaken += size
-        if not (self.gone or self.heard_all) and self._untaken * 2 >= self.session.limits.window:
+        if not (self.closed or self.end_received) and self._untaken * 2 >= self.session.limits.window:
             self.session._grant(self)
 
     def reset(self, code: int = ErrorCodes.CANCEL) -> None:
@@ -153,12 +153,12 @@
     """Either end of a connection. Raises nothing on the other side's faults: `broken` then tells, and the bytes
     that pump() gives still hold the GOAWAY that says so. `wake` is called whenever pump() may have more."""
 
-    def __init__(self, client: bool, limits: Limits, owner: Owner) -> None:
+    def __init__(self, client: bool, limits: SessionLimits, owner: Owner) -> None:
         self.client, self.limits, self.owner = client, limits, owner
         self.streams: dict[int, Stream] = {}
         self.broken: str | None = None  # why no more can be done
         self.closing = False  # GOAWAY has come or gone: no new streams
-        self.pings_due: set[bytes] = set()
+        self.pending_pings: set[bytes] = set()
         self.wake: Callable[[], None] = lambda: None
         self._waiting: dict[int, Stream] = {}  # streams with something to send, in turn
         self._blocked: dict[int, Stream] = {}  # those for which a window is shut
@@ -193,7 +193,7 @@
 
     # ---- what the owner does ----
     @property
-    def room(self) -> bool:
+    def can_open_stream(self) -> bool:
         """A new stream may be opened now."""
         return (
             not self.broken
@@ -201,9 +201,9 @@
             and (len(self.streams) < self._h2.remote_settings.max_concurrent_streams)
         )
 
-    def open(self, headers: Headers, listener: Listener, end: bool = False) -> Stream:
+    def open(self, headers: Headers, listener: StreamListener, end: bool = False) -> Stream:
         """A client's: raises RuntimeError where there is no room."""
-        if not self.room:
+        if not self.can_open_stream:
             raise RuntimeError("no room for a stream")
         try:
             stream_id = self._h2.get_next_available_stream_id()
@@ -213,11 +213,11 @@
         stream = Stream(self, stream_id, listener)
         self.streams[stream_id] = stream
         self._h2.send_headers(stream_id, headers, end_stream=end)
-        stream.said_all = stream._ending = end
+        stream.end_sent = stream._ending = end
         self.wake()
         return stream
 
-    def say_closing(self, code: int = ErrorCodes.NO_ERROR) -> None:
+    def send_goaway(self, code: int = ErrorCodes.NO_ERROR) -> None:
         """GOAWAY; streams that are open may end in peace."""
         if not self.closing and not self.broken:
             self.closing = True
@@ -233,7 +233,7 @@
     def ping(self, payload: bytes) -> None:
         """Eight bytes; they stand in pings_due until the other side has sent them back."""
         if not self.broken:
-            self.pings_due.add(payload)
+            self.pending_pings.add(payload)
             self._h2.ping(payload)
             self.wake()
 
@@ -258,9 +258,9 @@
         if self.broken is None:
             self.broken = reason
             for stream in list(self.streams.values()):
-                self._drop(stream, LOST, 0)
+                self._drop(stream, CONNECTION_LOST, 0)
 
-    def pump(self, room: int) -> bytes:
+    def take_output(self, room: int) -> bytes:
         """What is to be written next, with about `room` bytes of bodies at most; streams take turns."""
         while self._waiting and room > 0 and not self.broken:
             room -= self._push(self._waiting.pop(next(iter(self._waiting))), room)
@@ -330,8 +330,8 @@
         return size
 
     def _said_all(self, stream: Stream) -> None:
-        stream.said_all = True
-        if stream.heard_all:
+        stream.end_sent = True
+        if stream.end_received:
             self._forget(stream)
 
     def _grant(self, stream: Stream) -> None:
@@ -343,7 +343,7 @@
         self.wake()
 
     def _reset(self, stream: Stream, code: int) -> None:
-        if not stream.gone:
+        if not stream.closed:
             self._forget(stream)
             if not self.broken:
                 try:
@@ -356,7 +356,7 @@
     def _forget(self, stream: Stream) -> None:
         """It and its listener know each other no more: what is in no cycle is freed at once, and the collector, which
         would stop the loop for it, finds nothing to do."""
-        stream.gone, stream.listener = True, None
+        stream.closed, stream.listener = True, None
         stream._queue.clear()
         stream.queued = 0
         self.streams.pop(stream.id, None)
@@ -364,11 +364,11 @@
         self._blocked.pop(stream.id, None)
 
     def _drop(self, stream: Stream, how: str, code: int) -> None:
-        if not stream.gone:
+        if not stream.closed:
             listener = stream.listener
             self._forget(stream)
             if listener is not None:
-                listener.on_gone(stream, how, code)
+                listener.on_aborted(stream, how, code)
 
     # ---- h2's events ----
     def _on_request(self, event: events.RequestReceived) -> None:
@@ -399,18 +399,18 @@
         stream = self.streams.get(event.stream_id)
         if stream is not None:
             if padding := event.flow_controlled_length - len(event.data):
-                stream.taken(padding)
+                stream.acknowledge(padding)
             if event.data:
                 stream.listener.on_data(stream, event.data)
 
     def _on_ended(self, event: events.StreamEnded) -> None:
         stream = self.streams.get(event.stream_id)
-        if stream is not None and not stream.heard_all:
+        if stream is not None and not stream.end_received:
             self._end(stream, ())
 
     def _end(self, stream: Stream, trailers: Headers) -> None:
-        stream.heard_all, listener = True, stream.listener
-        if stream.said_all:
+        stream.end_received, listener = True, stream.listener
+        if stream.end_sent:
             self._forget(stream)
         listener.on_end(stream, trailers)
 
@@ -424,8 +424,8 @@
         self.closing, last = True, event.last_stream_id or 0
         if self.client:
             for stream in [s for s in self.streams.values() if s.id > last]:
-                self._drop(stream, UNSEEN, int(event.error_code))
-        self.owner.on_closing(int(event.error_code))
+                self._drop(stream, UNPROCESSED, int(event.error_code))
+        self.owner.on_goaway(int(event.error_code))
 
     def _on_window(self, event: events.WindowUpdated) -> None:
         if event.stream_id == 0:
@@ -439,10 +439,10 @@
 
     def _on_settings(self, event: events.RemoteSettingsChanged) -> None:
         self._unblock()  # the windows of all streams may have changed
-        self.owner.on_settled()
+        self.owner.on_settings()
 
     def _on_pong(self, event: events.PingAckReceived) -> None:
-        self.pings_due.discard(event.ping_data)
+        self.pending_pings.discard(event.ping_data)
 
 
 _HANDLERS = {
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -435,7 +435,7 @@
     finally:
         for part in (*it.clients, *it.appliances):
             part.close()
-        it.registry.shut()
+        it.registry.shutdown()
         it.daemon.front.drain()
         it.daemon._end()
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -47,7 +47,7 @@
     machines = [fleet.launch(1, warm=True) for _ in range(4)]
     spare = Registry()
     conveyor_address = spare.listen_on("127.0.0.1:0")
-    spare.shut()
+    spare.shutdown()
     text = SETTINGS.format(
         me=0,
         agents=1,
@@ -82,8 +82,8 @@
     load.close()
     daemon.on_signal()
     await daemon.ended.wait()
-    registry.shut()
-    conveyor.shut()
+    registry.shutdown()
+    conveyor.shutdown()
     (folder / "facts.jsonl").write_text("".join(facts))
     return sorted({breach.rule for breach in audit(folder).breaches})
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -26,7 +26,7 @@
 from cartweir.proto import agent_pb2 as pb
 from cartweir.standin.cut import Cut
 from cartweir.standin.registry import Registry
-from cartweir.wire.calls import CallError, Channel, Service, come_back
+from cartweir.wire.calls import CallError, Channel, Service, retry_later
 
 S = 1_000_000
 
@@ -222,7 +222,7 @@
     process = await Process.start(tmp_path / "agent.ini")
     assert (await process.until("stage_late"))["epoch"] == 5 and not process.of("followed")
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, new)
 
 
@@ -394,7 +394,7 @@
     assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
     assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"  # others are served
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, appliances)
 
 
@@ -442,7 +442,7 @@
     assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
     # until another build is offered: then all is known again, also to the next life
     conveyor.word = pb.Stage(build=3, number=0, phase=pb.ON_TRIAL, cap=0.2, epoch=4, index=20)
-    for link in list(conveyor.links):
+    for link in list(conveyor.connections):
         link.close("another word")
     await until(lambda: process.of("followed")[-1]["build"] == 3)
     assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"
@@ -451,7 +451,7 @@
     process = await Process.start(tmp_path / "agent.ini")
     assert (await process.until("facts"))["forgot"] is None
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, appliances)
 
 
@@ -491,7 +491,7 @@
     assert (await process.until("followed"))["build"] == 2
     await served(process.address, 3)
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, appliances)
 
 
@@ -510,7 +510,7 @@
     assert done.returncode == 1 and "Traceback" not in done.stderr
     assert "is in use by another process" in done.stderr and "is due" in done.stderr
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, appliances)
 
 
@@ -532,7 +532,7 @@
     process = await Process.start(tmp_path / "agent.ini")
     assert (await process.until("facts"))["forgot"]
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, appliances)
 
 
@@ -639,7 +639,7 @@
     async def _news(self, request):
         self.asked.append(time.monotonic())
         if self.refuses:
-            raise come_back("too many", self.advice)
+            raise retry_later("too many", self.advice)
         request.send(
             pb.Word(
                 stage=pb.Stage(build=1, number=1, phase=pb.RELEASED, cap=1.0, epoch=1, index=1)
@@ -682,7 +682,7 @@
     assert time.monotonic() - began < 30 + 5 + 2
     for agent in agents:
         assert await agent.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, [appliance])
 
 
@@ -695,7 +695,7 @@
     assert min(apart) >= 0.69  # the settings' own waits are 20 to 50 ms
     assert (await call(process.address, ISSUE)).status == "0"
     assert await process.stop() == 0
-    conveyor.shut()
+    conveyor.shutdown()
     end(registry, appliances)
 
 
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -43,7 +43,7 @@
     free = [Offering(None), Offering(None)]  # their ports are the agents'
     ports = [one.listen_on("127.0.0.1:0") for one in free]
     for one in free:
-        one.shut()
+        one.shutdown()
     async with rig(tmp_path, answer, answer, answer) as it:
         await it.add(answer, build=2)
         daemons, heard, logs = [], {0: [], 1: []}, []
@@ -88,7 +88,7 @@
         for daemon in daemons:
             daemon.front.drain()
             daemon._end()
-    conveyor.shut()
+    conveyor.shutdown()
 
 
 @sockets
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -601,8 +601,8 @@
             await asyncio.sleep(0.01)
         assert len(unheard) == int(deaf_first)  # later ones go first to whom answered
         agent.close()
-        deaf.shut()
-        good.shut()
+        deaf.shutdown()
+        good.shutdown()
 
     asyncio.run(asyncio.wait_for(play(), 5))
 
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -6,9 +6,9 @@
 
 import peers
 import pytest
-from worker_harness import parts, until
 from peers import ISSUE, ORDER, TILES, VIEW, answer, framed, large, nothing
 from test_calls import sockets
+from worker_harness import parts, until
 
 from cartweir.cores import division
 from cartweir.cores import pipe as say
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -648,7 +648,7 @@
 async def test_a_fault_as_a_request_is_read_is_answered(monkeypatch):
     async with ground(Appliance()) as it:
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
-        monkeypatch.setattr(front.names, "further_of", lambda text: 1 // 0)
+        monkeypatch.setattr(front.protocol, "further_of", lambda text: 1 // 0)
         client = Raw(it.address)
         client.write(ask("a"))
         assert (await client.answer())[0] == 500
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cartweir.node import http1
-from cartweir.node.http1 import MOST_BODY, MOST_HEAD, Answers, Malformed, Pieces, Requests
+from cartweir.node.http1 import MOST_BODY, MOST_HEAD, Answers, MalformedError, Pieces, Requests
 
 ASKED = http1.request(b"POST", b"/order/x?y=1", [(b"X-Request-ID", b"a1"), (b"X-Timeout", b"480m")], b"four")
 
@@ -61,16 +61,16 @@
 )
 def test_what_is_no_request_says_so(data, status):
     reader = Requests()
-    with pytest.raises(Malformed) as found:
+    with pytest.raises(MalformedError) as found:
         assert reader.feed(data) == []
     assert found.value.status == status
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         reader.feed(b"GET / HTTP/1.1\r\n\r\n")
 
 
 def test_a_head_without_end_is_refused_in_bounded_memory():
     reader, sent = Requests(), 0
-    with pytest.raises(Malformed) as found:
+    with pytest.raises(MalformedError) as found:
         while sent < 10 * MOST_HEAD:
             sent += len(b"A" * 100)
             reader.feed(b"GET /a HTTP/1.1\r\nA: " if sent == 100 else b"A" * 100)
@@ -91,7 +91,7 @@
 )
 def test_what_is_no_answer_says_so(data):
     reader = Answers()
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         assert reader.feed(data) is None
         raise AssertionError("taken for an answer, or for the beginning of one")
 
@@ -117,7 +117,7 @@
             b"HTTP/1.1 200 OK\r\nA: " + b"b" * 60_000,
         ):
             reader = Answers()
-            with pytest.raises(Malformed):
+            with pytest.raises(MalformedError):
                 reader.feed(spoilt)
             reader.close()
             del reader
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -184,7 +184,7 @@
     finally:
         for part in it.appliances:
             part.close()
-        it.registry.shut()
-        conveyor.shut()
+        it.registry.shutdown()
+        conveyor.shutdown()
         it.daemon.front.drain()
         it.daemon._end()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 from test_calls import sockets
 
 from cartweir.hosting import tcp
-from cartweir.node import config, desk, discovery, front, links, names
+from cartweir.node import config, desk, discovery, front, links, protocol
 from cartweir.node.peers import Peers
 
 
@@ -35,7 +35,7 @@
         (line, headers, body), *_ = it.appliances[0].requests
         assert line == "POST /order/x?y=1 HTTP/1.1" and body == b"body"
         assert headers["x-request-id"] == "a0" and headers["idempotency-key"] == "key-of-a0"
-        assert 0 < names.limit_of(headers["x-timeout"].encode()) < 2_000_000
+        assert 0 < protocol.limit_of(headers["x-timeout"].encode()) < 2_000_000
         assert it.appliances[0].accepted == 1  # one connection after another request
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -34,7 +34,7 @@
 
 
 def end(registry, appliances):
-    registry.shut()
+    registry.shutdown()
     for appliance in appliances:
         appliance.close()
 
@@ -163,7 +163,7 @@
     registry, appliances, process = await world(tmp_path, answer, agent=f"list_file = {kept}")
     while not kept.exists():
         await asyncio.sleep(0.005)
-    registry.shut()
+    registry.shutdown()
     await process.until("registry_lost")
     client = await Client.connect(process.address)
     got = client.call(ISSUE)
@@ -232,7 +232,7 @@
         return None
 
     def hang_up(count, request):
-        request.link.close("gone")
+        request.connection.close("gone")
 
     for do, answers, votes in ((full, ["full", "ok"], 2), (never, ["timeout"], 2), (hang_up, ["error"], 2)):
         conveyor = Offering(do)
@@ -250,7 +250,7 @@
                 await it.log.next("vote")
             assert [line["answer"] for line in it.log.of("vote")][: len(answers)] == answers
             assert (await ask(it)).ends == 1
-        conveyor.shut()
+        conveyor.shutdown()
 
 
 @sockets
@@ -285,6 +285,6 @@
     assert [line["cap"] for line in again.of("stage")] == [0.3]
     await again.stop()
     for service in (first, second):
-        service.shut()
+        service.shutdown()
     end(registry, appliances)
     end(registry2, appliances2)
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -278,7 +278,7 @@
     process.send_signal(signal.SIGTERM)
     await process.stderr.read()
     assert await process.wait() == 0
-    registry.shut()
+    registry.shutdown()
 
 
 @sockets
--- a/tests/test_wire_grpc.py
+++ b/tests/test_wire_grpc.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from cartweir.wire import grpc
-from cartweir.wire.session import LOST, REFUSED, RESET, UNSEEN, Limits, Session
+from cartweir.wire.session import CONNECTION_LOST, REFUSED, RESET, UNPROCESSED, Session, SessionLimits
 
 
 @given(st.integers(0, 10**15))
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("value", [b"", b"1", b"S", b"123456789m", b"1 S", b"-1S", b"1.5S", b"1s"])
 def test_malformed_timeouts(value):
-    with pytest.raises(grpc.Malformed):
+    with pytest.raises(grpc.MalformedError):
         grpc.decode_timeout(value)
 
 
@@ -37,7 +37,7 @@
 
 @given(st.lists(st.binary(max_size=40), max_size=5), st.lists(st.integers(1, 7), min_size=1))
 def test_a_walk_counts_messages_however_they_are_cut(messages, cuts):
-    body, walk, at, turn = b"".join(map(grpc.frame, messages)), grpc.BodyWalk(40), 0, 0
+    body, walk, at, turn = b"".join(map(grpc.frame, messages)), grpc.MessageScanner(40), 0, 0
     while at < len(body):
         size = cuts[turn % len(cuts)]
         walk.feed(body[at : at + size])
@@ -48,7 +48,7 @@
 class Side:
     """Owner and listener that writes down what it hears."""
 
-    def __init__(self, client, limits=Limits()):
+    def __init__(self, client, limits=SessionLimits()):
         self.heard, self.streams = [], []
         self.session = Session(client, limits, self)
 
@@ -66,13 +66,13 @@
     def on_end(self, stream, trailers):
         self.heard.append(("end", stream.id, len(trailers)))
 
-    def on_gone(self, stream, how, code):
+    def on_aborted(self, stream, how, code):
         self.heard.append(("gone", stream.id, how))
 
     def on_sent(self, stream, size): ...
-    def on_settled(self): ...
+    def on_settings(self): ...
 
-    def on_closing(self, code):
+    def on_goaway(self, code):
         self.heard.append(("closing", code))
 
     def take(self):
@@ -84,13 +84,13 @@
 
 
 def pair(**limits):
-    client, server = Side(True, Limits(**limits)), Side(False, Limits(**limits))
+    client, server = Side(True, SessionLimits(**limits)), Side(False, SessionLimits(**limits))
     exchange(client, server)
     return client, server
 
 
 def exchange(one, other, room=1 << 20):
-    while (out := one.session.pump(room)) or (back := other.session.pump(room)):
+    while (out := one.session.take_output(room)) or (back := other.session.take_output(room)):
         if out:
             other.session.receive(out)
         else:
@@ -104,7 +104,7 @@
     exchange(client, server)
     assert server.take() == [("stream", 1), ("data", 1, 5), ("end", 1, 0)]
     back = server.streams[0]
-    back.send_headers(grpc.answer_headers())
+    back.send_headers(grpc.response_headers())
     back.send_data(b"x" * 40_000)
     back.send_trailers(grpc.trailers(0))
     exchange(client, server)
@@ -125,7 +125,7 @@
     exchange(client, server)
     got = {stream_id: sum(h[2] for h in server.heard if h[:2] == ("data", stream_id)) for stream_id in (1, 3)}
     assert got == {1: 65_535, 3: 60_000} and slow.queued == 300_000 - 65_535
-    server.streams[0].taken(65_535)
+    server.streams[0].acknowledge(65_535)
     exchange(client, server)
     assert slow.queued == 300_000 - 2 * 65_535
 
@@ -134,34 +134,34 @@
     client, server = pair()
     for letter in (b"a", b"b"):
         client.session.open(HEADERS, client).send_data(letter * 50_000, end=True)
-    server.session.receive(client.session.pump(40_000))
+    server.session.receive(client.session.take_output(40_000))
     got = [h[1] for h in server.heard if h[0] == "data"]
     assert got[:2] == [1, 3]
 
 
 def test_streams_over_the_grant_are_refused_and_the_connection_lives():
-    client, server = Side(True), Side(False, Limits(streams=1))
+    client, server = Side(True), Side(False, SessionLimits(streams=1))
     for _ in range(2):  # before the server's settings have come
         client.session.open(HEADERS, client)
     exchange(client, server)
     assert server.session.broken is None and server.take() == [("stream", 1)]
-    assert client.take() == [("gone", 3, REFUSED)] and not client.session.room
+    assert client.take() == [("gone", 3, REFUSED)] and not client.session.can_open_stream
 
 
 def test_goaway_parts_the_seen_from_the_unseen():
     client, server = pair()
     client.session.open(HEADERS, client, end=True)
     exchange(client, server)
-    server.session.say_closing()
+    server.session.send_goaway()
     client.session.open(HEADERS, client, end=True)  # on its way as the GOAWAY is
-    late = client.session.pump(1 << 20)
-    client.session.receive(server.session.pump(1 << 20))
-    assert client.take() == [("gone", 3, UNSEEN), ("closing", 0)]
+    late = client.session.take_output(1 << 20)
+    client.session.receive(server.session.take_output(1 << 20))
+    assert client.take() == [("gone", 3, UNPROCESSED), ("closing", 0)]
     server.session.receive(late)
     server.streams[0].send_headers([(b":status", b"200"), *grpc.trailers(0)], end=True)
     exchange(client, server)
     assert client.take() == [("end", 1, 2)] and [s.id for s in server.streams] == [1]
-    assert not client.session.room and client.session.broken is None
+    assert not client.session.can_open_stream and client.session.broken is None
 
 
 def test_resets_and_refusals_are_told_apart():
@@ -180,6 +180,6 @@
     one, two = (client.session.open(HEADERS, client, end=True) for _ in range(2))
     exchange(client, server)
     server.streams[0].send_headers([(b":status", b"200"), *grpc.trailers(0)], end=True)
-    client.session.receive(server.session.pump(1 << 20) + b"\0\0\x04\x08\0\0\0\0\0\0\0\0\0")
-    assert client.take() == [("end", one.id, 2), ("gone", two.id, LOST)]
+    client.session.receive(server.session.take_output(1 << 20) + b"\0\0\x04\x08\0\0\0\0\0\0\0\0\0")
+    assert client.take() == [("end", one.id, 2), ("gone", two.id, CONNECTION_LOST)]
     assert "FlowControl" in client.session.broken or "Protocol" in client.session.broken
--- a/tests/test_worker_rules.py
+++ b/tests/test_worker_rules.py
@@ -7,7 +7,18 @@
 
 import pytest
 
-from cartweir.cores.division import ASK, DROP, FRESH, GO, SILENT, Division, DeciderMonitor, RestartPolicy, fate, trusted
+from cartweir.cores.division import (
+    ASK,
+    DROP,
+    FRESH,
+    GO,
+    SILENT,
+    DeciderMonitor,
+    Division,
+    RestartPolicy,
+    fate,
+    trusted,
+)
 from cartweir.window import WindowBudget
 
 MS, S = 1_000, 1_000_000
--- a/tests/worker_harness.py
+++ b/tests/worker_harness.py
@@ -17,11 +17,11 @@
 from cartweir.agent.appliance_pools import AppliancePools
 from cartweir.agent.daemon import appliance_options, build_operations, front_limits, operations_by_path
 from cartweir.agent.front import Front
-from cartweir.cores.shared_state import SharedState, new_files
 from cartweir.cores.decider import Decider
 from cartweir.cores.dispatcher import Dispatcher
-from cartweir.cores.process import LIVES
 from cartweir.cores.pipe import Pipe, pair
+from cartweir.cores.process import LIVES
+from cartweir.cores.shared_state import SharedState, new_files
 from cartweir.hosting.clock import Clock
 from cartweir.proto import agent_pb2 as pb
 from cartweir.settings.ini import read_agent
@@ -46,7 +46,7 @@
     def tell(self, build: int, number: int, phase: int, cap: float) -> None:
         self.stage = pb.Stage(build=build, number=number, phase=phase, cap=cap)
         for request in self.listeners:
-            if not request.gone:
+            if not request.cancelled:
                 request.send(pb.Word(stage=self.stage).SerializeToString())
 
 
@@ -225,8 +225,8 @@
             part.end()
         if it.decider is not None:
             it.decider_ends()
-        it.registry.shut()
-        it.conveyor.shut()
+        it.registry.shutdown()
+        it.conveyor.shutdown()
         for appliance in it.appliances:
             appliance.close()
         for client in it.clients:
