--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -10,7 +10,7 @@
 import tempfile
 from pathlib import Path
 
-from cartweir.faults.comeback import Outcome, Scene, play
+from cartweir.faults.mass_restart import RestartOutcome, RestartScenario, run_scenario
 
 CELLS = [(share, "kept", "there") for share in (0.1, 0.5, 0.7, 1.0)] + [
     (1.0, "lost", "there"),
@@ -29,7 +29,7 @@
     return "-" if missing else f"{value / 1e6:.1f}"
 
 
-def line(cell: tuple[float, str, str], found: list[Outcome]) -> str:
+def line(cell: tuple[float, str, str], found: list[RestartOutcome]) -> str:
     share, state, registry = cell
     breaches = sum(len(outcome.breaches) for outcome in found)
     return (
@@ -67,10 +67,10 @@
         for seed in range(1, given.seeds + 1):
             with tempfile.TemporaryDirectory(prefix="cartweir-") as folder:
                 found.append(
-                    play(
+                    run_scenario(
                         Path(folder),
                         seed,
-                        Scene(*cell, agents=given.agents, light=given.light),
+                        RestartScenario(*cell, agents=given.agents, light_agents=given.light),
                         lambda text: None,
                     )
                 )
--- a/benchmarks/controllers.py
+++ b/benchmarks/controllers.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from cartweir.faults.rig import Rig, Scale
+from cartweir.faults.rig import Rig, RigConfig
 from cartweir.proto import agent_pb2 as pb
 from cartweir.wire.calls import CallError, Channel
 
@@ -24,7 +24,7 @@
 
 async def event(rig: Rig, kind: str) -> float:
     """Seconds from the fault at the owner to the first agent that follows a later epoch."""
-    status = await rig.until(
+    status = await rig.wait_for_status(
         lambda s: (
             s["role"] == "leader"
             and s["duties"]["release"]["owner"]
@@ -32,32 +32,36 @@
         )
     )
     owner, epoch = status["duties"]["release"]["owner"], status["duties"]["release"]["epoch"]
-    seen, began = len(rig.followed), time.monotonic()
+    seen, began = len(rig.followed_stages), time.monotonic()
     match kind:
         case "kill":
             await rig.kill(owner)
         case "stop":
-            rig.signal(owner, signal.SIGSTOP)
+            rig.send_signal(owner, signal.SIGSTOP)
         case "apart":
-            rig.apart(owner)
-    while not any(row["epoch"] > epoch for row in rig.followed[seen:]):
+            rig.isolate(owner)
+    while not any(row["epoch"] > epoch for row in rig.followed_stages[seen:]):
         await asyncio.sleep(0.002)
         if time.monotonic() - began > 30:
             raise TimeoutError(f"no new epoch within 30 s of {kind} at {owner}")
     took = time.monotonic() - began
     match kind:
         case "kill":
-            await rig.run(owner)
+            await rig.start_process(owner)
         case "stop":
-            rig.signal(owner, signal.SIGCONT)
+            rig.send_signal(owner, signal.SIGCONT)
         case "apart":
-            rig.apart(owner, "pass")
+            rig.isolate(owner, "pass")
     return took
 
 
 async def decisions(rig: Rig, at_once: int, seconds: float) -> float:
     """Ballots told ok a second, so many under way at a time, all through one controller."""
-    channel, done, end = Channel(rig.listen[await rig.owner()], 500_000), 0, time.monotonic() + seconds
+    channel, done, end = (
+        Channel(rig.listen_addresses[await rig.wait_for_owner()], 500_000),
+        0,
+        time.monotonic() + seconds,
+    )
 
     async def one(number: int) -> None:
         nonlocal done
@@ -92,27 +96,30 @@
         if time.monotonic() > end:
             raise TimeoutError(
                 f"{behind()} agents are not at build {build}, stage {stage}, {phase}; a controller: "
-                f"{await rig.ask(await rig.owner(), ask='status')}"
+                f"{await rig.ask(await rig.wait_for_owner(), ask='status')}"
             )
         await asyncio.sleep(0.001)
 
 
 async def deciding(rig: Rig, events: int) -> list[float]:
     """Seconds from the ballot that ends a stage, as it leaves, until all have followed the next; stage after stage, build after build."""
-    took, build = [], (await rig.until(lambda s: s["release"]["phase"] == "RELEASED"))["release"]["build"]
-    needed = max(1, rig.scale.agents // 2)
+    took, build = (
+        [],
+        (await rig.wait_for_status(lambda s: s["release"]["phase"] == "RELEASED"))["release"]["build"],
+    )
+    needed = max(1, rig.config.agents // 2)
     while len(took) < events:
         build += 1
-        assert await rig.offer(build)
+        assert await rig.offer_build(build)
         for stage, then in ((0, (1, "on trial")), (1, (2, "on trial")), (2, (2, "released"))):
             await until_all(rig, build, stage, "on trial")
             await asyncio.sleep(
-                (rig.scale.bake + 400) / 1000
+                (rig.config.bake + 400) / 1000
             )  # its machines run, and have run for the time that is due
-            owner, serial = await rig.owner(), build * 100_000 + stage * 10_000
-            await rig.ballots(owner, range(5001, 5000 + needed), build, stage, pb.ON, serial)
+            owner, serial = await rig.wait_for_owner(), build * 100_000 + stage * 10_000
+            await rig.cast_votes(owner, range(5001, 5000 + needed), build, stage, pb.ON, serial)
             began = time.monotonic()
-            await rig.ballots(owner, (5000 + needed,), build, stage, pb.ON, serial)
+            await rig.cast_votes(owner, (5000 + needed,), build, stage, pb.ON, serial)
             await until_all(rig, build, *then)
             took.append(time.monotonic() - began)
     return took
@@ -120,17 +127,17 @@
 
 async def run(events: int, agents: int, controllers: int, kinds: tuple[str, ...] = CELLS) -> None:
     with tempfile.TemporaryDirectory(prefix="cartweir-") as folder:
-        rig = Rig(Path(folder) / "rig", Scale(controllers, agents, votes=False, files=False))
+        rig = Rig(Path(folder) / "rig", RigConfig(controllers, agents, votes=False, files=False))
         await rig.start()
         try:
             print(
-                f"{controllers} controllers, {agents} light agents, election time-out {rig.scale.election} ms"
+                f"{controllers} controllers, {agents} light agents, election time-out {rig.config.election} ms"
             )
-            await rig.owner()
+            await rig.wait_for_owner()
             for kind in kinds:
                 took = sorted([await event(rig, kind) for _ in range(events)])
                 times = [
-                    t * 1000 / rig.scale.election
+                    t * 1000 / rig.config.election
                     for t in (took[len(took) // 2], took[int(len(took) * 0.9)], took[-1])
                 ]
                 print(
@@ -147,12 +154,12 @@
                 times = [t * 1000 for t in (took[len(took) // 2], took[int(len(took) * 0.9)], took[-1])]
                 print(
                     f"from the deciding vote to the last of {agents} agents: {len(took)} times, as multiples of a heartbeat "
-                    f"{times[0] / rig.scale.heartbeat:.1f} (median), {times[1] / rig.scale.heartbeat:.1f} (nine in ten), "
-                    f"{times[2] / rig.scale.heartbeat:.1f} (most)",
+                    f"{times[0] / rig.config.heartbeat:.1f} (median), {times[1] / rig.config.heartbeat:.1f} (nine in ten), "
+                    f"{times[2] / rig.config.heartbeat:.1f} (most)",
                     flush=True,
                 )
         finally:
-            verdict = await rig.end()
+            verdict = await rig.stop_and_check()
         print(verdict.text())
 
 
--- a/cartweir/cli/__init__.py
+++ b/cartweir/cli/__init__.py
@@ -145,7 +145,7 @@
     """Play a scripted bad day on loopback: 9 appliances, 3 agents, clients, and what goes wrong."""
     import tempfile
 
-    from ..faults.day import ControlledDay
+    from ..faults.controller_day import ControllerDay
     from ..standin.day import Day
 
     with tempfile.TemporaryDirectory(prefix="cartweir-") as scratch:
@@ -154,7 +154,7 @@
             fail(f"--keep {keep}: holds an earlier run: a new or empty folder is due")
         say = (lambda line: None) if as_json else lambda line: print(line, flush=True)
         day = (
-            ControlledDay(folder, seed, seconds, say, cores=cores, controllers=controllers)
+            ControllerDay(folder, seed, seconds, say, cores=cores, controllers=controllers)
             if controllers
             else (Day(folder, seed, seconds, say, cores=cores))
         )
@@ -162,7 +162,7 @@
             report = asyncio.run(day.run())
         except OSError as error:
             fail(f"demo: {error}", 1)
-        verdict = day.verdict if controllers else None
+        verdict = day.consistency_report if controllers else None
         if as_json:
             told = {"controllers": asdict(verdict)} if verdict else {}
             print(json.dumps({**report.as_dict(), **told}, indent=1))
@@ -205,15 +205,15 @@
     """Kill, stop and cut off controllers while builds are released, and judge by what receivers saw."""
     import tempfile
 
-    from ..faults.real import QUIET, FaultDay
-    from ..faults.rig import Scale, play
+    from ..faults.fault_day import QUIET_SECONDS, FaultDay
+    from ..faults.rig import RigConfig, run_rig
 
     def say(line: str) -> None:
         print(line, flush=True)
 
-    if real and (unfenced or seconds < 3 * QUIET):
+    if real and (unfenced or seconds < 3 * QUIET_SECONDS):
         fail(
-            f"faults: --real needs --seconds {3 * QUIET:g} or more, and has receivers of its own, which are fenced"
+            f"faults: --real needs --seconds {3 * QUIET_SECONDS:g} or more, and has receivers of its own, which are fenced"
         )
     report = None
     with tempfile.TemporaryDirectory(prefix="cartweir-") as scratch:
@@ -226,15 +226,17 @@
                     folder, seed, seconds, say, agents=real, rate=20.0 * real, controllers=controllers
                 )
                 report = asyncio.run(day.run())
-                verdict, rig = day.verdict, day.rig
+                verdict, rig = day.consistency_report, day.rig
             else:
                 verdict, rig = asyncio.run(
-                    play(folder, Scale(controllers, agents), seed, seconds, unfenced, say)
+                    run_rig(folder, RigConfig(controllers, agents), seed, seconds, unfenced, say)
                 )
         except OSError as error:
             fail(f"faults: {error}", 1)
     print(
-        ", ".join(f"{name} {count}" for name, count in sorted(rig.counts.items())), verdict.text(), sep="\n"
+        ", ".join(f"{name} {count}" for name, count in sorted(rig.fault_counts.items())),
+        verdict.text(),
+        sep="\n",
     )
     if report is not None:
         print(report.text())
@@ -269,16 +271,26 @@
     """Kill most agents in one moment under load, and measure how the fleet comes back."""
     import tempfile
 
-    from ..faults.comeback import Scene, play
+    from ..faults.mass_restart import RestartScenario, run_scenario
 
     with tempfile.TemporaryDirectory(prefix="cartweir-") as scratch:
         if keep is not None and any(keep.glob("*.tap")):
             fail(f"--keep {keep}: holds an earlier run: a new or empty folder is due")
         try:
-            scene = Scene(
-                share, state, registry, agents, light, rate=rate, trial=trial, owner=owner, after=after
+            scene = RestartScenario(
+                share,
+                state,
+                registry,
+                agents,
+                light,
+                rate=rate,
+                trial=trial,
+                kill_owner=owner,
+                seconds_after=after,
+            )
+            outcome = run_scenario(
+                keep or Path(scratch), seed, scene, (lambda line: None) if as_json else print
             )
-            outcome = play(keep or Path(scratch), seed, scene, (lambda line: None) if as_json else print)
         except ValueError as error:
             fail(f"comeback: {error}")
         except OSError as error:
--- a/cartweir/cli/controller.py
+++ b/cartweir/cli/controller.py
@@ -33,7 +33,7 @@
 @app.command()
 def found(file: SettingsFile) -> None:
     """Make the directory of a member of a new cluster; once at each of its [members]."""
-    from ..controller.directory import found as make
+    from ..controller.directory import create_founding_directory as make
     from ..controller.store import StoreError
 
     document = _document(file)
@@ -49,7 +49,7 @@
 @app.command()
 def join(file: SettingsFile) -> None:
     """Make an empty directory for a member that is new, or lost its own; `admit` lets it in."""
-    from ..controller.directory import join as make
+    from ..controller.directory import create_joining_directory as make
     from ..controller.store import StoreError
 
     document = _document(file)
@@ -71,8 +71,8 @@
     ] = False,
 ) -> None:
     """A majority of directories is lost: go on with this one alone, as a new incarnation above all earlier epochs."""
-    from ..controller.directory import recover as make
-    from ..controller.store import DiskFailed, StoreError
+    from ..controller.directory import recover_directory as make
+    from ..controller.store import DiskFailedError, StoreError
 
     document = _document(file)
     if not others_are_gone:
@@ -82,7 +82,7 @@
         )
     try:
         number, index = make(document)
-    except (StoreError, DiskFailed, ValueError) as error:
+    except (StoreError, DiskFailedError, ValueError) as error:
         fail(f"{file}: {error}")
     print(
         f"{document.controller.directory}: incarnation {number}, from decision {index} on; start it, then join others"
@@ -93,12 +93,12 @@
 def run(file: SettingsFile) -> None:
     """Run one controller until SIGTERM."""
     from ..controller.daemon import run as serve
-    from ..controller.directory import opened
+    from ..controller.directory import open_store
     from ..controller.store import StoreError
 
     document = _document(file)
     try:
-        store = opened(document)
+        store = open_store(document)
     except (StoreError, ValueError) as error:
         fail(f"{file}: {error}", 1)
     try:
--- a/cartweir/cli/model.py
+++ b/cartweir/cli/model.py
@@ -36,22 +36,22 @@
     as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
 ) -> None:
     """Play histories of controllers with faults, and judge each by what receivers saw."""
-    from ..model.cluster import FAULTS, Shape, play
+    from ..model.cluster import SEEDED_FAULTS, HistoryConfig, run_history
 
-    if broken and broken not in FAULTS:
-        fail(f"--broken {broken}: one of {', '.join(FAULTS)} is due")
+    if broken and broken not in SEEDED_FAULTS:
+        fail(f"--broken {broken}: one of {', '.join(SEEDED_FAULTS)} is due")
     total, bad, began, gaps = Counter(), {}, time.monotonic(), []
     for seed in range(first, first + seeds):
-        history = play(seed, Shape(members=members, seconds=seconds, broken=broken))
-        total.update(history.counts)
+        history = run_history(seed, HistoryConfig(members=members, seconds=seconds, broken=broken))
+        total.update(history.fault_counts)
         total.update(
-            decided=len(history.log),
-            ballots_ok=len(history.ok),
-            steps=len(history.steps),
-            told_late=history.late,
-            refused=history.refused,
+            decided=len(history.committed),
+            ballots_ok=len(history.accepted_ballots),
+            steps=len(history.executed_steps),
+            told_late=history.ignored_by_agents,
+            refused=history.refused_effects,
         )
-        gaps += history.ownerless
+        gaps += history.leaderless_times
         if history.breaches:
             bad[seed] = history.breaches
             if broken:
@@ -94,7 +94,7 @@
     plot: Plot = None,
 ) -> None:
     """How long a fleet takes to be told its list when all come back at once, with each defence switched off in turn."""
-    from ..model.crowd import DEFENCES, Crowd, play
+    from ..model.thundering_herd import DEFENCES, HerdConfig, run_herd
 
     def time_of(value: int | None) -> str:
         return "never" if value is None else f"{value / 1e6:.1f} s"
@@ -102,16 +102,21 @@
     rows = []
     for count in agents:
         for off in ((), *((d,) for d in DEFENCES), ("admission", "waits")):
-            back = play(seed, Crowd(agents=count, receivers=receivers, heeds=heeds, knows=knows, off=off))
+            result = run_herd(
+                seed,
+                HerdConfig(
+                    agents=count, receivers=receivers, advice_share=heeds, known_share=knows, disabled=off
+                ),
+            )
             rows.append(
                 {
                     "agents": count,
                     "off": list(off),
-                    "half": back.when(0.5, count),
-                    "all": back.when(1.0, count),
-                    "peak": back.peak,
-                    "refused": back.refused,
-                    "wasted": round(back.wasted / max(1, back.busy), 3),
+                    "half": result.completion_time(0.5, count),
+                    "all": result.completion_time(1.0, count),
+                    "peak": result.peak_requests,
+                    "refused": result.refused,
+                    "wasted": round(result.wasted_time / max(1, result.busy_time), 3),
                 }
             )
             if not as_json:
@@ -151,23 +156,23 @@
     plot: Plot = None,
 ) -> None:
     """The owner of the release is killed again and again: how long until the first and the last agent follow the next one."""
-    from ..model.sizes import Fleet, middle, play
+    from ..model.owner_failover import FailoverConfig, median, run_failovers
 
     rows = []
     for members in controllers:
         for count in agents:
-            found = play(seed, Fleet(members, count, kills, admit=admit))
+            found = run_failovers(seed, FailoverConfig(members, count, kills, admission_rate=admit))
             rows.append(
                 {
                     "controllers": members,
                     "agents": count,
-                    "kills": len(found.first),
-                    "first": middle(found.first),
-                    "first_most": max(found.first, default=None),
-                    "last": middle(found.last),
-                    "last_most": max(found.last, default=None),
-                    "members_a_second": found.members,
-                    "words": found.words,
+                    "kills": len(found.first_agent_times),
+                    "first": median(found.first_agent_times),
+                    "first_most": max(found.first_agent_times, default=None),
+                    "last": median(found.last_agent_times),
+                    "last_most": max(found.last_agent_times, default=None),
+                    "members_a_second": found.member_messages,
+                    "words": found.stage_messages,
                     "refused": found.refused,
                     "unfinished": found.unfinished,
                 }
@@ -176,8 +181,8 @@
                 row = rows[-1]
                 print(
                     f"{members} controllers, {count:6} agents: {row['kills']} kills, first agent told after {_ms(row['first'])} (median), "
-                    f"{_ms(row['first_most'])} (most), the last after {_ms(row['last'])}, {_ms(row['last_most'])}; {found.members:.0f} messages "
-                    f"a second among controllers, {found.words} words to agents, told to come back {found.refused}, "
+                    f"{_ms(row['first_most'])} (most), the last after {_ms(row['last'])}, {_ms(row['last_most'])}; {found.member_messages:.0f} messages "
+                    f"a second among controllers, {found.stage_messages} words to agents, told to come back {found.refused}, "
                     f"kills before all were told {found.unfinished}",
                     flush=True,
                 )
@@ -203,10 +208,10 @@
 
 
 def _draw(path: Path, panels: dict[str, dict[str, Any]]) -> None:
-    from ..model.plots import lines
+    from ..model.plots import draw_lines
 
     try:
-        lines(path, panels, "agents")
+        draw_lines(path, panels, "agents")
     except ImportError:
         fail("--plot: matplotlib is not installed: pip install matplotlib, or leave --plot out")
     except OSError as error:
--- a/cartweir/controller/daemon.py
+++ b/cartweir/controller/daemon.py
@@ -24,7 +24,7 @@
 from ..proto import agent_pb2 as pb
 from ..wire.calls import CallError, Channel, Request, Service, retry_later
 from ..wire.grpc import Status
-from . import words
+from . import message_codec
 from .host import Host
 from .peers import ACT, TELL
 from .settings import ControllerDocument
@@ -41,7 +41,7 @@
         self.document, self.log = document, log
         self.store = store
         self.host = Host(document, store, store.kept, self.log_event, random.Random())
-        self.host.on_decided, self.host.on_fault = self._decided, self._fault
+        self.host.on_committed, self.host.on_fault = self._decided, self._fault
         self.ended: asyncio.Future = asyncio.get_running_loop().create_future()
         self.admission = AdmissionControl.for_rate(document.controller.admit, document.controller.come_back)
         self._news: dict[Request, int] = {}
@@ -88,8 +88,8 @@
     async def _tell(self, request: Request) -> bytes:
         try:
             said = pb.Words.FromString(request.message)
-            messages = [words.unpack(word) for word in said.words]
-        except (DecodeError, words.BadWord) as error:
+            messages = [message_codec.unpack(word) for word in said.words]
+        except (DecodeError, message_codec.MalformedMessageError) as error:
             raise CallError(Status.INVALID_ARGUMENT, f"no words of a member: {error}") from None
         if said.cluster != self.document.controller.cluster:
             raise CallError(Status.FAILED_PRECONDITION, f"this is cluster {self.document.controller.cluster}")
@@ -124,7 +124,7 @@
     async def _listen(self, request: Request) -> None:
         hello = pb.Hello.FromString(request.message)
         duty = self.host.fleet.duties[RELEASE]
-        if not self.host.led or not duty.epoch:
+        if not self.host.has_leader or not duty.epoch:
             raise CallError(Status.UNAVAILABLE, "no leader is heard here: another controller may know more")
         # guards the duties against a fleet that comes back all at once
         verdict = self.admission.decide(monotonic())
@@ -200,7 +200,7 @@
         while True:
             await asyncio.sleep(WORK / 1e6)
             now = monotonic()
-            if not host.led:
+            if not host.has_leader:
                 for request in self._news:  # they may learn more elsewhere
                     if not request.cancelled:
                         request.finish(Status.UNAVAILABLE, "no leader is heard here")
@@ -446,7 +446,7 @@
             "term": member.term,
             "decided": member.commit_index,
             "last": member.last_index,
-            "led": host.led,
+            "led": host.has_leader,
             "incarnation": host.fleet.incarnation,
             "members": {
                 n: {"address": m.address, "votes": m.votes, "answers": n in host.alive}
--- a/cartweir/controller/directory.py
+++ b/cartweir/controller/directory.py
@@ -16,32 +16,32 @@
 FOUNDED = "founded"  # mark of the first directories; one made later has a mark drawn anew
 
 
-def fleet_of(document: ControllerDocument) -> FleetState:
+def new_fleet_state(document: ControllerDocument) -> FleetState:
     return FleetState(document.plan(), {name: list(steps.names) for name, steps in document.steps.items()})
 
 
-def found(document: ControllerDocument) -> None:
+def create_founding_directory(document: ControllerDocument) -> None:
     """Of a member of a new cluster. Raises StoreError, ValueError."""
     section = document.controller
     if not document.members:
         raise ValueError("[members]: all members of the new cluster are due, each with its address")
     members = {name: MemberInfo(FOUNDED, address, True) for name, address in document.members.items()}
-    Store.make(
+    Store.create(
         Path(section.directory),
         {"cluster": section.cluster, "name": section.name, "mark": FOUNDED},
         [SnapshotRecord(Snapshot(0, 0, members, b""), False)],
     )
 
 
-def join(document: ControllerDocument) -> str:
+def create_joining_directory(document: ControllerDocument) -> str:
     """An empty one with a mark of its own, which is returned: it votes once the others have admitted it, as what the lost
     one promised is not known. Raises StoreError."""
     section, mark = document.controller, secrets.token_hex(6)
-    Store.make(Path(section.directory), {"cluster": section.cluster, "name": section.name, "mark": mark})
+    Store.create(Path(section.directory), {"cluster": section.cluster, "name": section.name, "mark": mark})
     return mark
 
 
-def opened(document: ControllerDocument) -> Store:
+def open_store(document: ControllerDocument) -> Store:
     """Raises StoreError; ValueError where it is another member's, or of another cluster."""
     section, store = document.controller, Store(Path(document.controller.directory))
     store.open()
@@ -55,17 +55,17 @@
     return store
 
 
-def recover(document: ControllerDocument) -> tuple[int, int]:
+def recover_directory(document: ControllerDocument) -> tuple[int, int]:
     """Goes on alone with all that this directory holds, decided or not, as the next incarnation, whose epochs are above
-    all that any receiver has seen. Returns its number, and the index it goes on from. Raises StoreError, DiskFailed,
+    all that any receiver has seen. Returns its number, and the index it goes on from. Raises StoreError, DiskFailedError,
     ValueError."""
-    store = opened(document)
+    store = open_store(document)
     kept, name = store.kept, document.controller.name
     if not kept.snapshot.members and not any(e.kind == EntryKind.MEMBERSHIP for e in kept.entries):
         raise StoreError(
             f"{document.controller.directory}: holds nothing: a directory that has held the log is due"
         )
-    fleet = fleet_of(document)
+    fleet = new_fleet_state(document)
     if kept.snapshot.state:
         fleet.load(msgpack.unpackb(kept.snapshot.state, strict_map_key=False))
     for entry in kept.entries:
--- a/cartweir/controller/host.py
+++ b/cartweir/controller/host.py
@@ -18,7 +18,7 @@
 from ..fleet.raft.messages import Message
 from ..fleet.raft.records import PersistentState
 from ..hosting.clock import monotonic
-from .directory import fleet_of
+from .directory import new_fleet_state
 from .peers import Peer
 from .settings import ControllerDocument
 from .store import Store, StoreError
@@ -41,13 +41,13 @@
         self.document, self.store, self.log_event = document, store, log_event
         section = document.controller
         self.name, self.mark = section.name, store.identity["mark"]
-        self.fleet = fleet_of(document)
+        self.fleet = new_fleet_state(document)
         self.duty_manager = DutyManager(
             self.name, self.fleet, OwnershipTimeouts(section.absent, section.stuck)
         )
         self.member = Member(MemberId(self.name, self.mark), kept, document.timing(), chance, monotonic())
         self.peers: dict[str, Peer] = {}
-        self.on_decided: Callable[[], None] = lambda: None
+        self.on_committed: Callable[[], None] = lambda: None
         self.on_fault: Callable[[Exception], None] = lambda error: None
         self._inbox: list[Callable[[], None]] = []
         self._something = asyncio.Event()
@@ -175,7 +175,7 @@
             if known := self._waiting.pop(entry.index, None):
                 if not known[1].done():
                     known[1].set_result((True, answer) if known[0] == entry.term else (False, None))
-        self.on_decided()
+        self.on_committed()
         if self.fleet.index - member.snapshot.index > self.document.controller.compact:
             member.compact(self.fleet.index, msgpack.packb(self.fleet.dump()))
             self._something.set()
@@ -208,7 +208,7 @@
         return [self.name, *([member.leader] if member.leader else [])]
 
     @property
-    def led(self) -> bool:
+    def has_leader(self) -> bool:
         """Whether agents do well to listen here."""
         member = self.member
         peer = self.peer(member.leader) if member.leader and member.role != Role.LEADER else None
--- a/cartweir/controller/words.py
+++ b/cartweir/controller/message_codec.py
@@ -31,7 +31,7 @@
 NAMES = {kind: name for name, kind in TYPES.items()}
 
 
-class BadWord(ValueError):
+class MalformedMessageError(ValueError):
     """What came is no word of a member."""
 
 
@@ -60,7 +60,7 @@
 
 
 def unpack(data: bytes) -> Message:
-    """Raises BadWord."""
+    """Raises MalformedMessageError."""
     try:
         name, *parts = msgpack.unpackb(data)
         message = TYPES[name](*parts)
@@ -71,9 +71,9 @@
         elif isinstance(message, StartReply):
             message = message._replace(last=LogPosition(*message.last))
         if not isinstance(message[0], int):
-            raise BadWord("a term, or a count of starts, is no number")
+            raise MalformedMessageError("a term, or a count of starts, is no number")
         return message
-    except BadWord:
+    except MalformedMessageError:
         raise
     except (ValueError, TypeError, KeyError, msgpack.UnpackException) as error:
-        raise BadWord(f"{type(error).__name__}: {error}") from None
+        raise MalformedMessageError(f"{type(error).__name__}: {error}") from None
--- a/cartweir/controller/peers.py
+++ b/cartweir/controller/peers.py
@@ -13,7 +13,7 @@
 from ..hosting.tcp import spawn
 from ..proto import agent_pb2 as pb
 from ..wire.calls import CallError, Channel
-from . import words
+from . import message_codec
 
 TELL, ACT = "/cartweir.v1.Members/Tell", "/cartweir.v1.Members/Act"
 WAITING = 256  # words for one member; older ones go first, as later ones tell more
@@ -30,7 +30,7 @@
         self.silent_since: int | None = None  # when the first call was begun that no answer has come behind
 
     def say(self, message: Message) -> None:
-        self._words.append(words.pack(message))
+        self._words.append(message_codec.pack(message))
         if not self._busy:
             self._busy = True
             spawn(self._run())
--- a/cartweir/controller/store.py
+++ b/cartweir/controller/store.py
@@ -32,11 +32,11 @@
     StartRecord,
     VoteRecord,
 )
-from .words import unpack_entry, unpack_snapshot
+from .message_codec import unpack_entry, unpack_snapshot
 
-HEAD = struct.Struct("<IQ")
+FRAME_HEADER = struct.Struct("<IQ")
 SYNCED = struct.Struct("<8sQ")  # the log file's own bytes, and how much of it is known to be on disk
-OWN = 8
+FILE_ID_SIZE = 8
 FORM = 1  # of what is written here
 
 
@@ -44,7 +44,7 @@
     """The directory can't be used; one line with place, reason and what is right."""
 
 
-class DiskFailed(Exception):
+class DiskFailedError(Exception):
     """What was to be saved may not be on disk: the process has to end."""
 
 
@@ -73,9 +73,9 @@
     raise ValueError(f"unknown record {parts[:1]}")
 
 
-def frame(at: int, saves: Iterable[Record]) -> bytes:
+def encode_frame(at: int, saves: Iterable[Record]) -> bytes:
     payload = msgpack.packb([pack(save) for save in saves])
-    return HEAD.pack(len(payload), xxhash.xxh64_intdigest(payload, seed=at)) + payload
+    return FRAME_HEADER.pack(len(payload), xxhash.xxh64_intdigest(payload, seed=at)) + payload
 
 
 class Store:
@@ -86,12 +86,12 @@
         self.path = folder / "log"
         self.kept, self.identity = PersistentState(), {}
         self.size = self.frames = 0
-        self._own = bytes(OWN)
+        self._own = bytes(FILE_ID_SIZE)
         self._file = self._synced = self._lock = -1
 
     # ---- making one ----
     @classmethod
-    def make(cls, folder: Path, identity: dict[str, Any], saves: Iterable[Record] = ()) -> None:
+    def create(cls, folder: Path, identity: dict[str, Any], saves: Iterable[Record] = ()) -> None:
         """A new directory. Raises StoreError where something is there already."""
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -99,9 +99,11 @@
                 raise StoreError(f"{folder}: is not empty: a new directory is due; nothing was touched")
             store = cls(folder)
             text = msgpack.packb({"form": FORM, **identity})
-            store._whole("identity", HEAD.pack(len(text), xxhash.xxh64_intdigest(text)) + text)
-            store._whole("synced", SYNCED.pack(bytes(OWN), 0))
-            store._whole("log", os.urandom(OWN) + (frame(OWN, saves) if saves else b""))
+            store._whole("identity", FRAME_HEADER.pack(len(text), xxhash.xxh64_intdigest(text)) + text)
+            store._whole("synced", SYNCED.pack(bytes(FILE_ID_SIZE), 0))
+            store._whole(
+                "log", os.urandom(FILE_ID_SIZE) + (encode_frame(FILE_ID_SIZE, saves) if saves else b"")
+            )
         except OSError as error:
             raise StoreError(f"{folder}: {error.strerror}: a directory that can be written is due") from None
 
@@ -159,12 +161,12 @@
 
     def _read_identity(self) -> dict[str, Any]:
         data = (self.folder / "identity").read_bytes()
-        if len(data) < HEAD.size or HEAD.unpack_from(data) != (
-            len(data) - HEAD.size,
-            xxhash.xxh64_intdigest(data[HEAD.size :]),
+        if len(data) < FRAME_HEADER.size or FRAME_HEADER.unpack_from(data) != (
+            len(data) - FRAME_HEADER.size,
+            xxhash.xxh64_intdigest(data[FRAME_HEADER.size :]),
         ):
             raise StoreError(f"{self.folder}/identity: cannot be read: join anew with an empty directory")
-        identity = msgpack.unpackb(data[HEAD.size :])
+        identity = msgpack.unpackb(data[FRAME_HEADER.size :])
         if identity["form"] != FORM:
             raise StoreError(
                 f"{self.folder}/identity: written in form {identity['form']}, this program knows {FORM}"
@@ -172,16 +174,18 @@
         return identity
 
     def _recover(self, data: bytes, mark: bytes) -> None:
-        own, synced = SYNCED.unpack(mark) if len(mark) == SYNCED.size else (bytes(OWN), 0)
-        if len(data) < OWN:
+        own, synced = SYNCED.unpack(mark) if len(mark) == SYNCED.size else (bytes(FILE_ID_SIZE), 0)
+        if len(data) < FILE_ID_SIZE:
             raise StoreError(f"{self.path}: has {len(data)} bytes: join anew with an empty directory")
-        self._own, at = data[:OWN], OWN
+        self._own, at = data[:FILE_ID_SIZE], FILE_ID_SIZE
         while at < len(data):
-            size, due = HEAD.unpack_from(data, at) if at + HEAD.size <= len(data) else (len(data), 0)
-            end = at + HEAD.size + size
+            size, due = (
+                FRAME_HEADER.unpack_from(data, at) if at + FRAME_HEADER.size <= len(data) else (len(data), 0)
+            )
+            end = at + FRAME_HEADER.size + size
             if end > len(data):
                 break  # cut short: judged below by what was known to be on disk
-            payload = data[at + HEAD.size : end]
+            payload = data[at + FRAME_HEADER.size : end]
             if xxhash.xxh64_intdigest(payload, seed=at) != due:
                 raise StoreError(
                     f"{self.path}: the frame at byte {at} is spoilt, and what it held may have been told: "
@@ -209,17 +213,17 @@
 
     # ---- writing ----
     def save(self, saves: list[Record]) -> None:
-        """On disk when it returns. Raises DiskFailed: the process is to end."""
+        """On disk when it returns. Raises DiskFailedError: the process is to end."""
         try:
             if any(isinstance(save, SnapshotRecord) for save in saves):
                 self._compact(saves)
                 return
-            data = memoryview(frame(self.size, saves))
+            data = memoryview(encode_frame(self.size, saves))
             while data:
                 data = data[os.write(self._file, data) :]
             self._fsync()
         except OSError as error:
-            raise DiskFailed(
+            raise DiskFailedError(
                 f"{self.path}: {error.strerror}: what was to be told is not on disk; this process ends and is "
                 "to be started again once the disk takes writes"
             ) from None
@@ -232,12 +236,12 @@
         for save in saves:
             self.kept.add(save)
         kept = self.kept
-        self._own = os.urandom(OWN)
+        self._own = os.urandom(FILE_ID_SIZE)
         self._whole(
             "log",
             self._own
-            + frame(
-                OWN,
+            + encode_frame(
+                FILE_ID_SIZE,
                 [
                     SnapshotRecord(kept.snapshot, False),
                     VoteRecord(kept.term, kept.voted_for),
@@ -256,7 +260,7 @@
         try:
             self.sync(self._file)
         except OSError as error:
-            raise DiskFailed(
+            raise DiskFailedError(
                 f"{self.path}: fsync: {error.strerror}: the pages count as clean now, so that no second try "
                 "would tell: this process ends"
             ) from None
--- a/cartweir/faults/verdict.py
+++ b/cartweir/faults/consistency_check.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from ..controller.directory import fleet_of
+from ..controller.directory import new_fleet_state
 from ..controller.settings import ControllerDocument
 from ..controller.store import Store
 from ..fleet.duties import RELEASE
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Verdict:
+class ConsistencyReport:
     breaches: list[str] = field(default_factory=list)
     decided: int = 0
     effects: int = 0  # taken by receivers
@@ -39,7 +39,9 @@
         )
 
 
-def logs(documents: Iterable[ControllerDocument], verdict: Verdict) -> dict[int, tuple[int, bytes | None]]:
+def logs(
+    documents: Iterable[ControllerDocument], verdict: ConsistencyReport
+) -> dict[int, tuple[int, bytes | None]]:
     """By index: term and command of all that a majority holds. Two that hold different ones there are a breach."""
     held: list[dict[int, tuple[int, Any]]] = []
     documents = list(documents)
@@ -62,14 +64,14 @@
     return found
 
 
-def judge(
+def check_consistency(
     documents: list[ControllerDocument], record: Path, agents: list[dict[str, Any]], told_ok: list[tuple]
-) -> Verdict:
+) -> ConsistencyReport:
     """record: of the receivers. agents: rows of what agents followed, in order. told_ok: agent, build and stage of ballots."""
-    verdict = Verdict()
+    verdict = ConsistencyReport()
     log = logs(documents, verdict)
     verdict.decided = max(log, default=0)
-    fleet = fleet_of(documents[0])
+    fleet = new_fleet_state(documents[0])
     faces: dict[tuple, Any] = {}  # by duty and token: what may be told under it
     counted: set[tuple] = set()
     for index in sorted(log):
@@ -97,7 +99,9 @@
     return verdict
 
 
-def _receivers(verdict: Verdict, rows: list[dict], faces: dict, steps: dict[str, list[str]]) -> None:
+def _receivers(
+    verdict: ConsistencyReport, rows: list[dict], faces: dict, steps: dict[str, list[str]]
+) -> None:
     highest: dict[str, tuple] = {}
     done: dict[str, list] = {name: [] for name in steps}
     under: dict[tuple, Any] = {}
@@ -127,7 +131,7 @@
             verdict.breaches.append(f"{duty}: carried out as {found}")
 
 
-def _agents(verdict: Verdict, rows: list[dict], faces: dict) -> None:
+def _agents(verdict: ConsistencyReport, rows: list[dict], faces: dict) -> None:
     highest: dict[int, tuple] = {}
     phases = ("on trial", "going back", "released", "withdrawn")
     for row in rows:
--- a/cartweir/faults/day.py
+++ b/cartweir/faults/controller_day.py
@@ -16,8 +16,8 @@
 from ..standin.receivers import Receivers
 from ..wire.calls import CallError, Channel
 from ..wire.tap import FileTap
-from .rig import Rig, Scale
-from .verdict import Verdict, judge
+from .consistency_check import ConsistencyReport, check_consistency
+from .rig import Rig, RigConfig
 
 LOOK = 0.1  # seconds between two looks at the stage, for the day's own report
 
@@ -63,7 +63,7 @@
 
     def offer(self, build: int) -> None:
         async def until_taken() -> None:
-            while not await self.rig.offer(build):
+            while not await self.rig.offer_build(build):
                 await asyncio.sleep(0.1)
 
         spawn(until_taken())
@@ -80,38 +80,38 @@
             finally:
                 channel.close()
 
-        for name in self.rig.names:
-            if self.rig.alive(name):
-                spawn(tell(self.rig.listen[name]))
+        for name in self.rig.controller_names:
+            if self.rig.is_running(name):
+                spawn(tell(self.rig.listen_addresses[name]))
 
     def gone(self, gone: bool) -> None:
-        for name in self.rig.names:
-            self.rig.signal(name, signal.SIGSTOP if gone else signal.SIGCONT)
+        for name in self.rig.controller_names:
+            self.rig.send_signal(name, signal.SIGSTOP if gone else signal.SIGCONT)
 
     async def hurt_owner(self, how: str, seconds: float) -> None:
         try:
-            owner = await self.rig.owner(seconds=3)
+            owner = await self.rig.wait_for_owner(seconds=3)
         except TimeoutError:
             return
         self.day.log_event("fault", who=f"controller {owner}", what=how, value=seconds)
         if how == "killed":
             await self.rig.kill(owner)
             await asyncio.sleep(seconds)
-            await self.rig.run(owner)
+            await self.rig.start_process(owner)
         elif how == "stopped":
-            self.rig.signal(owner, signal.SIGSTOP)
+            self.rig.send_signal(owner, signal.SIGSTOP)
             await asyncio.sleep(seconds)
-            self.rig.signal(owner, signal.SIGCONT)
+            self.rig.send_signal(owner, signal.SIGCONT)
         else:
-            self.rig.apart(owner)
+            self.rig.isolate(owner)
             await asyncio.sleep(seconds)
-            self.rig.apart(owner, "pass")
+            self.rig.isolate(owner, "pass")
 
     async def report(self) -> None:
         last = None
         while True:
-            for name in self.rig.names:
-                if self.rig.alive(name) and (status := await self.rig.ask(name, ask="status")):
+            for name in self.rig.controller_names:
+                if self.rig.is_running(name) and (status := await self.rig.ask(name, ask="status")):
                     at = status["release"]
                     face = at["build"], at["stage"], at["phase"]
                     if last is None or (face != last and face[0] >= last[0]):
@@ -127,26 +127,26 @@
             await asyncio.sleep(LOOK)
 
     def shutdown(self) -> None:
-        pass  # ended with the day: ControlledDay._stop_all
+        pass  # ended with the day: ControllerDay._stop_all
 
 
-class ControlledDay(Day):
+class ControllerDay(Day):
     """controllers: how many."""
 
     def __init__(self, *given: Any, controllers: int = 3, **more: Any) -> None:
         super().__init__(*given, **more)
         self.controllers = controllers
-        self.verdict = Verdict()
+        self.consistency_report = ConsistencyReport()
 
     async def run(self) -> Report:
         """The audit's report; `verdict`: on the controllers, from what machines' hosts took and agents followed beside a majority's log."""
         report = await super().run()
-        self.verdict = judge(
-            list(self.rig.documents.values()), self.folder / "receivers.jsonl", self.followed(), []
+        self.consistency_report = check_consistency(
+            list(self.rig.documents.values()), self.folder / "receivers.jsonl", self.followed_stages(), []
         )
         return report
 
-    def followed(self) -> list[dict[str, Any]]:
+    def followed_stages(self) -> list[dict[str, Any]]:
         """What agents followed, in all their lives, in order: from their logs."""
         rows = []
         for me in range(self.agents):
@@ -157,7 +157,7 @@
         return rows
 
     async def _make_conveyor(self, tap: FileTap) -> str:
-        scale = Scale(self.controllers, 0, 100, 500, bake=1_000, grace=2_000, steps=())
+        scale = RigConfig(self.controllers, 0, 100, 500, bake=1_000, grace=2_000, steps=())
         host = MachineHost(self.fleet, scale.grace * 1000)
         self.receivers = Receivers(self.folder / "receivers.jsonl", fleet=host)
         release = SETTINGS[SETTINGS.index("[release]") : SETTINGS.index("[operation parcel-view]")]
@@ -168,12 +168,12 @@
             release=release.strip(),
             receivers=self.receivers.listen_on("127.0.0.1:0"),
         )
-        self.rig.machines = self.count
+        self.rig.machine_count = self.count
         await self.rig.start()
-        await self.rig.owner()
+        await self.rig.wait_for_owner()
         self.conveyor = Office(self, self.rig)
         self._report = asyncio.ensure_future(self.conveyor.report())
-        return ", ".join(self.rig.addresses)
+        return ", ".join(self.rig.agent_addresses)
 
     def script(self) -> list[Step]:
         first, second, third = self.chance.sample(("killed", "stopped", "cut off"), 3)
--- a/cartweir/faults/real.py
+++ b/cartweir/faults/fault_day.py
@@ -11,19 +11,19 @@
 from ..proto import agent_pb2 as pb
 from ..standin.appliance import Quality
 from ..standin.day import BAD, Step
-from .day import ControlledDay
+from .controller_day import ControllerDay
 
-QUIET = 5.0  # seconds at the end without a fault, and without a new build
+QUIET_SECONDS = 5.0  # seconds at the end without a fault, and without a new build
 LOSABLE = ("list", "facts")  # an agent's files; its stage is what it is a receiver by
 
 
-class FaultDay(ControlledDay):
+class FaultDay(ControllerDay):
     """Raises OSError as a day does."""
 
     tick = "60ms"  # many processes share few cores here: answers are given that much earlier
 
     def script(self) -> Iterator[Step]:
-        self._until = monotonic() + int((self.seconds - QUIET) * 1e6)
+        self._until = monotonic() + int((self.seconds - QUIET_SECONDS) * 1e6)
         yield Step(0.0, "builds are offered", self._offers)
         yield Step(2.0 / self.seconds, "faults are drawn", self._faults)
 
@@ -42,11 +42,11 @@
     async def _faults(self) -> None:
         while monotonic() < self._until:
             if self.chance.random() < 0.6:
-                await self.rig.trouble(lambda text: self.say(f"         {text}"))
+                await self.rig.inject_random_fault(lambda text: self.say(f"         {text}"))
             else:
                 await self._own_trouble()
             await asyncio.sleep(self.chance.uniform(0.2, 1.0))
-        self.rig.cut.command(["all", "pass"])
+        self.rig.proxy.command(["all", "pass"])
         self.registry.fail(False)
 
     async def _own_trouble(self) -> None:
@@ -54,7 +54,7 @@
         chance, span = self.chance, self.chance.uniform(0.3, 2.0)
         kind = chance.choice(("agent", "agent", "all agents", "registry", "list", "pause", "silence"))
         self.say(f"{(monotonic() - self._began) / 1e6:6.2f} s  {kind}, {span:.1f} s")
-        self.rig.counts[kind] += 1
+        self.rig.fault_counts[kind] += 1
         machine = chance.choice(list(self.fleet.machines.values()))
         match kind:
             case "agent":
--- a/cartweir/faults/disk.py
+++ b/cartweir/faults/faulty_disk.py
@@ -1,4 +1,4 @@
-"""A process of the program on a bad disk: `python -m cartweir.faults.disk FILE controller run ...` is `cartweir controller run ...`
+"""A process of the program on a bad disk: `python -m cartweir.faults.faulty_disk FILE controller run ...` is `cartweir controller run ...`
 whose writes and fsyncs do what FILE says at that moment, as JSON; a file that is not there says nothing:
 
     {"slow": 0.5}           each fsync takes so many seconds longer
--- a/cartweir/faults/comeback.py
+++ b/cartweir/faults/mass_restart.py
@@ -19,8 +19,8 @@
 from ..proto import agent_pb2 as pb
 from ..standin.appliance import Quality
 from ..standin.day import Step
-from .day import ControlledDay
-from .light import LightAgent
+from .controller_day import ControllerDay
+from .light_agent import LightAgent
 
 STATES, REGISTRIES = ("kept", "lost", "old"), ("there", "away", "empty")
 TRIALS = ("", "good", "bad")
@@ -29,29 +29,29 @@
 
 
 @dataclass
-class Scene:
+class RestartScenario:
     """share: of the agents, killed at once. state: of their files. registry: while they come back. Times in seconds."""
 
     share: float = 0.7
     state: str = "kept"
     registry: str = "there"
     agents: int = 4
-    light: int = 0
-    before: float = 6.0
-    after: float = 12.0
-    away: float = 3.0  # the registry, or its list
+    light_agents: int = 0
+    seconds_before: float = 6.0
+    seconds_after: float = 12.0
+    registry_away: float = 3.0  # the registry, or its list
     trial: str = ""  # a build is on trial as they are killed: good or bad
-    owner: bool = False  # the owner of the release is killed in the same moment
-    zone: bool = False  # the appliances of a zone go in the same moment, and are back at once, cold
-    rolling: float = (
+    kill_owner: bool = False  # the owner of the release is killed in the same moment
+    restart_zone: bool = False  # the appliances of a zone go in the same moment, and are back at once, cold
+    rolling_interval: float = (
         0.0  # seconds from one agent to the next, which are told to end (SIGTERM); 0: killed, all at once
     )
     rate: float = 60.0
-    lists: float = 200.0  # that the registry tells a second
+    list_rate: float = 200.0  # that the registry tells a second
 
 
 @dataclass
-class Outcome:
+class RestartOutcome:
     """back: microseconds from the kill until full service; None: not within what was seen. told: until each agent had list and
     stage. Peaks: the most in one second, beside what is usual in one."""
 
@@ -90,13 +90,18 @@
         )
 
 
-class Comeback(ControlledDay):
+class MassRestart(ControllerDay):
     """Raises ValueError on a scene that cannot be, OSError as a day does."""
 
     tick = "60ms"  # many processes begin at once here: answers are given that much earlier
 
     def __init__(
-        self, folder: Path, seed: int, say: Callable[[str], None], scene: Scene, controllers: int = 3
+        self,
+        folder: Path,
+        seed: int,
+        say: Callable[[str], None],
+        scene: RestartScenario,
+        controllers: int = 3,
     ) -> None:
         if (
             scene.state not in STATES
@@ -111,7 +116,7 @@
         super().__init__(
             folder,
             seed,
-            scene.before + scene.after,
+            scene.seconds_before + scene.seconds_after,
             say,
             agents=scene.agents,
             rate=scene.rate,
@@ -127,23 +132,25 @@
     # ---- the scene ----
     def script(self) -> Iterator[Step]:
         scene, length = self.scene, self.seconds
-        self.registry.admission = AdmissionControl.for_rate(scene.lists, 5_000_000)
+        self.registry.admission = AdmissionControl.for_rate(scene.list_rate, 5_000_000)
         # without files: a hundred that sync theirs on one disk in one moment are no fleet on machines of their own
         self.light = [
-            LightAgent(1000 + n, self.rig.addresses, lambda event, **facts: None, votes=False, seed=self.seed)
-            for n in range(scene.light)
+            LightAgent(
+                1000 + n, self.rig.agent_addresses, lambda event, **facts: None, votes=False, seed=self.seed
+            )
+            for n in range(scene.light_agents)
         ]
         self._tasks += [asyncio.ensure_future(self._look())]
         if scene.trial:
             yield Step(
-                (scene.before - 3.0) / length,
+                (scene.seconds_before - 3.0) / length,
                 f"build 2 is offered, and {scene.trial}",
                 lambda: self._offer(2),
             )
         if scene.state == "old":
-            yield Step(0.3 * scene.before / length, "the agents' files are copied", self._copy)
+            yield Step(0.3 * scene.seconds_before / length, "the agents' files are copied", self._copy)
         yield Step(
-            scene.before / length,
+            scene.seconds_before / length,
             f"{scene.share:.0%} of the agents are killed at once, files {scene.state}, "
             f"registry {scene.registry}",
             self._strike_all,
@@ -165,7 +172,7 @@
     async def _strike_all(self) -> None:
         scene = self.scene
         struck = self.chance.sample(range(self.agents), max(1, round(scene.share * self.agents)))
-        if scene.rolling:
+        if scene.rolling_interval:
             await self._roll(struck)
             return
         # of an older copy it knows less than it had, but for the list, which it goes by
@@ -174,10 +181,10 @@
             self.log_event("killed", agent=me, tap=f"agent{me}-{self._lives[me]}.tap", loses=loses)
             self.running[me].kill()
         self.killed_at = monotonic()
-        if scene.zone:
+        if scene.restart_zone:
             for machine in [m for m in self.fleet.machines.values() if m.zone == self.zones[0]]:
                 self.fleet.restart(machine)
-        if scene.owner:
+        if scene.kill_owner:
             self._tasks.append(asyncio.ensure_future(self.conveyor.hurt_owner("killed", 1.0)))
         count = round(scene.share * len(self.light))
         for agent in self.light[:count]:
@@ -194,7 +201,7 @@
                 elif scene.state == "old" and (old := path.with_name(path.name + ".old")).exists():
                     shutil.copy(old, path)
         if scene.registry != "there":
-            asyncio.get_running_loop().call_later(scene.away, self._registry_back)
+            asyncio.get_running_loop().call_later(scene.registry_away, self._registry_back)
         for agent in self.light[:count]:
             agent.start()
         await asyncio.gather(*(self._start_agent(me) for me in struck))
@@ -213,7 +220,7 @@
         self.killed_at, tasks = monotonic(), []
         for me in struck:
             tasks.append(asyncio.ensure_future(again(me)))
-            await asyncio.sleep(self.scene.rolling)
+            await asyncio.sleep(self.scene.rolling_interval)
         await asyncio.gather(*tasks)
         while not all(self._logged(me, "list") and self._logged(me, "stage") for me in struck):
             await asyncio.sleep(LOOK)
@@ -233,10 +240,10 @@
                 self._connections.setdefault(f"{machine.ident}/{machine.run}", []).append(
                     (now, machine.accepted)
                 )
-            if self.scene.light:
+            if self.scene.light_agents:
                 let_in = 0
-                for name in self.rig.names:
-                    if self.rig.alive(name) and (status := await self.rig.ask(name, ask="status")):
+                for name in self.rig.controller_names:
+                    if self.rig.is_running(name) and (status := await self.rig.ask(name, ask="status")):
                         let_in += status["agents"]["let_in"]
                 self._listeners.append((now, let_in))
             await asyncio.sleep(LOOK)
@@ -254,9 +261,9 @@
         ]
         return peak_count(events), usual
 
-    def followed(self) -> list[dict[str, Any]]:
+    def followed_stages(self) -> list[dict[str, Any]]:
         """A life that does not know what the one before followed may follow less."""
-        return super().followed() if self.scene.state == "kept" else []
+        return super().followed_stages() if self.scene.state == "kept" else []
 
     async def run(self) -> Report:
         report = await super().run()
@@ -267,25 +274,27 @@
         for task in self._tasks:
             task.cancel()
         self.told_to_come_back = self.registry.counts["refused"]
-        for name in self.rig.names:
-            if self.rig.alive(name) and (status := await self.rig.ask(name, ask="status")):
+        for name in self.rig.controller_names:
+            if self.rig.is_running(name) and (status := await self.rig.ask(name, ask="status")):
                 self.told_to_come_back += status["agents"]["told_to_come_back"]
         for agent in self.light:
             agent.close()
         await super()._stop_all()
 
-    def _judge(self, report: Report) -> Outcome:
-        scene, out = self.scene, Outcome(refused=self.told_to_come_back)
+    def _judge(self, report: Report) -> RestartOutcome:
+        scene, out = self.scene, RestartOutcome(refused=self.told_to_come_back)
         rows = [
             CompletedCall(*json.loads(line))
             for line in (self.folder / f"ends-{self.seed}.jsonl").read_text().splitlines()
         ]
         # the first seconds are the start of all, not what is usual
-        before = int(min(10.0, scene.before - 2.0) * 1e6)
+        before = int(min(10.0, scene.seconds_before - 2.0) * 1e6)
         out.back = recovery_time(rows, self.killed_at, before)
         out.told = self.told_at - self.killed_at if self.told_at else None
         usual = service_level([r for r in rows if self.killed_at - before <= r.began < self.killed_at])
-        late = service_level([r for r in rows if r.began >= self.killed_at + int((scene.after - 4) * 1e6)])
+        late = service_level(
+            [r for r in rows if r.began >= self.killed_at + int((scene.seconds_after - 4) * 1e6)]
+        )
         out.share_before, out.share_after = (
             usual.success_share if usual else 0.0,
             late.success_share if late else 0.0,
@@ -306,12 +315,14 @@
             json.loads(line)["event"] == "fell"
             for line in (self.folder / "facts.jsonl").read_text().splitlines()
         )
-        out.breaches = [*map(str, report.breaches), *self.verdict.breaches]
+        out.breaches = [*map(str, report.breaches), *self.consistency_report.breaches]
         return out
 
 
-def play(folder: Path, seed: int, scene: Scene, say: Callable[[str], None]) -> Outcome:
+def run_scenario(
+    folder: Path, seed: int, scene: RestartScenario, say: Callable[[str], None]
+) -> RestartOutcome:
     """Raises ValueError, OSError."""
-    day = Comeback(folder, seed, say, scene)
+    day = MassRestart(folder, seed, say, scene)
     asyncio.run(day.run())
     return day.outcome
--- a/cartweir/faults/rig.py
+++ b/cartweir/faults/rig.py
@@ -18,14 +18,14 @@
 from typing import Any
 
 from ..agent.control_plane import write_atomically
-from ..controller.directory import found
+from ..controller.directory import create_founding_directory
 from ..controller.settings import ControllerDocument, read_controller
 from ..hosting.clock import monotonic
 from ..proto import agent_pb2 as pb
 from ..standin.cut import Cut
 from ..wire.calls import CallError, Channel
-from .light import LightAgent
-from .verdict import Verdict, judge
+from .consistency_check import ConsistencyReport, check_consistency
+from .light_agent import LightAgent
 
 SETTINGS = """\
 [controller]
@@ -107,7 +107,7 @@
     return True
 
 
-def free_ports(count: int) -> list[str]:
+def free_addresses(count: int) -> list[str]:
     """Returns addresses on which nothing listens, from the port range that this process has claimed."""
     _, ports = _claim_ports()
     free = filter(_can_listen, itertools.islice(ports, PORTS_PER_PROCESS - 1))
@@ -118,7 +118,7 @@
 
 
 @dataclass
-class Scale:
+class RigConfig:
     """Of a run. Times in milliseconds."""
 
     controllers: int = 3
@@ -140,40 +140,40 @@
     def __init__(
         self,
         folder: Path,
-        scale: Scale,
+        scale: RigConfig,
         seed: int = 1,
         unfenced: bool = False,
         release: str = "",
         receivers: str | None = None,
     ) -> None:
-        self.release = release or RELEASE.format(on_votes=max(1, scale.agents // 2))
-        self.receivers = receivers
-        self.folder, self.scale, self.seed, self.unfenced = folder, scale, seed, unfenced
-        self.names = [chr(ord("a") + i) for i in range(scale.controllers)]
-        self.chance = random.Random(seed)
+        self.release_section = release or RELEASE.format(on_votes=max(1, scale.agents // 2))
+        self.external_receivers = receivers
+        self.folder, self.config, self.seed, self.unfenced = folder, scale, seed, unfenced
+        self.controller_names = [chr(ord("a") + i) for i in range(scale.controllers)]
+        self.random = random.Random(seed)
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.documents: dict[str, ControllerDocument] = {}
         self.agents: list[LightAgent] = []
-        self.facts: list[dict[str, Any]] = []
-        self.followed: list[dict[str, Any]] = []
-        self.told_ok: list[tuple] = []
-        self.machines = 10  # of the fleet, as builds are offered to it
-        self.began = monotonic()
-        self.counts: Counter = Counter()
-
-    def say(self, event: str, **facts: Any) -> None:
+        self.events: list[dict[str, Any]] = []
+        self.followed_stages: list[dict[str, Any]] = []
+        self.acknowledged_votes: list[tuple] = []
+        self.machine_count = 10  # of the fleet, as builds are offered to it
+        self.started_at = monotonic()
+        self.fault_counts: Counter = Counter()
+
+    def record_event(self, event: str, **facts: Any) -> None:
         row = {"time": monotonic(), "event": event, **facts}
-        (self.followed if event == "stage" else self.facts).append(row)
+        (self.followed_stages if event == "stage" else self.events).append(row)
         if event == "vote":
-            self.told_ok.append((facts["agent"], facts["build"], facts["stage"]))
+            self.acknowledged_votes.append((facts["agent"], facts["build"], facts["stage"]))
 
     # ---- making ----
     async def start(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        scale, names = self.scale, self.names
-        listen = dict(zip([*names, "receivers"], free_ports(len(names) + 1)))
-        listen["receivers"] = self.receivers or listen["receivers"]
-        self.listen, self.record = listen, self.folder / "receivers.jsonl"
+        scale, names = self.config, self.controller_names
+        listen = dict(zip([*names, "receivers"], free_addresses(len(names) + 1)))
+        listen["receivers"] = self.external_receivers or listen["receivers"]
+        self.listen_addresses, self.record_path = listen, self.folder / "receivers.jsonl"
         pairs = [(f"{a}-{b}", "127.0.0.1:0", listen[b]) for a in names for b in names if a != b]
         pairs += [
             (f"{a}-{what}", "127.0.0.1:0", listen["receivers"])
@@ -181,8 +181,8 @@
             for what in ("machines", "steps")
         ]
         pairs += [(f"agents-{a}", "127.0.0.1:0", listen[a]) for a in names]
-        self.cut = Cut(pairs, self.say)
-        ways = await self.cut.start("127.0.0.1:0")
+        self.proxy = Cut(pairs, self.record_event)
+        ways = await self.proxy.start("127.0.0.1:0")
         for name in names:
             path = self.folder / f"{name}.ini"
             path.write_text(
@@ -196,7 +196,7 @@
                     admit=scale.admit,
                     members="\n".join(f"{n} = {listen[n]}" for n in names),
                     routes="\n".join(f"{n} = {ways[f'{name}-{n}']}" for n in names if n != name),
-                    release=self.release,
+                    release=self.release_section,
                     bake=scale.bake,
                     grace=scale.grace,
                     machines=ways[f"{name}-machines"],
@@ -206,14 +206,16 @@
                 )
             )
             self.documents[name] = read_controller(path)
-            found(self.documents[name])
-        await asyncio.gather(*map(self.run, names if self.receivers else ["receivers", *names]))
-        self.addresses = addresses = [ways[f"agents-{a}"] for a in names]
+            create_founding_directory(self.documents[name])
+        await asyncio.gather(
+            *map(self.start_process, names if self.external_receivers else ["receivers", *names])
+        )
+        self.agent_addresses = addresses = [ways[f"agents-{a}"] for a in names]
         self.agents = [
             LightAgent(
                 number,
                 addresses,
-                self.say,
+                self.record_event,
                 votes=scale.votes,
                 seed=self.seed,
                 stage_file=self.folder / f"agent{number}.stage" if scale.files else None,
@@ -221,10 +223,17 @@
             for number in range(scale.agents)
         ]
 
-    async def run(self, name: str) -> None:
+    async def start_process(self, name: str) -> None:
         """A process of the program, in its own folder's log."""
         arguments = (
-            ["standin", "receivers", "--record", str(self.record), "--listen", self.listen["receivers"]]
+            [
+                "standin",
+                "receivers",
+                "--record",
+                str(self.record_path),
+                "--listen",
+                self.listen_addresses["receivers"],
+            ]
             if (name == "receivers")
             else ["controller", "run", "--settings", str(self.folder / f"{name}.ini")]
         )
@@ -234,7 +243,7 @@
             self.processes[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "cartweir.faults.disk",
+                "cartweir.faults.faulty_disk",
                 str(self._disk(name)),
                 *arguments,
                 stdout=log,
@@ -248,7 +257,7 @@
     # ---- asking ----
     async def ask(self, name: str, **asked: Any) -> Any:
         """None: no answer, or refused."""
-        channel = Channel(self.listen[name], 300_000)
+        channel = Channel(self.listen_addresses[name], 300_000)
         try:
             message = pb.Text(json=json.dumps(asked)).SerializeToString()
             answer = await channel.unary("/cartweir.v1.Controller/Ask", message, 1_500_000)
@@ -258,29 +267,31 @@
         finally:
             channel.close()
 
-    async def until(self, holds: Callable[[dict[str, Any]], bool], seconds: float = 40.0) -> dict[str, Any]:
+    async def wait_for_status(
+        self, holds: Callable[[dict[str, Any]], bool], seconds: float = 40.0
+    ) -> dict[str, Any]:
         """A controller's status that holds. Raises TimeoutError with the last one seen."""
         end, last = monotonic() + int(seconds * 1e6), None
         while monotonic() < end:
-            for name in self.names:
-                if self.alive(name) and (status := await self.ask(name, ask="status")) is not None:
+            for name in self.controller_names:
+                if self.is_running(name) and (status := await self.ask(name, ask="status")) is not None:
                     last = status
                     if holds(status):
                         return status
             await asyncio.sleep(0.03)
         raise TimeoutError(f"no controller came to it within {seconds:g} s; last: {last}")
 
-    async def owner(self, duty: str = "release", seconds: float = 20.0) -> str:
-        status = await self.until(
+    async def wait_for_owner(self, duty: str = "release", seconds: float = 20.0) -> str:
+        status = await self.wait_for_status(
             lambda s: s["role"] == "leader" and s["duties"][duty]["owner"] is not None, seconds
         )
         return status["duties"][duty]["owner"]
 
-    async def offer(self, build: int) -> bool:
-        for name in self.names:
+    async def offer_build(self, build: int) -> bool:
+        for name in self.controller_names:
             if (
-                self.alive(name)
-                and (answer := await self.ask(name, ask="offer", build=build, machines=self.machines))
+                self.is_running(name)
+                and (answer := await self.ask(name, ask="offer", build=build, machines=self.machine_count))
                 and answer.get("taken")
             ):
                 return True
@@ -290,7 +301,7 @@
         self, through: str, numbers: Iterable[int], build: int, stage: int, choice: int, serial: int = 0
     ) -> list[int]:
         """Of agents that are not there, told to one controller under serial + number until each is answered: the answers."""
-        channel = Channel(self.listen[through], 500_000)
+        channel = Channel(self.listen_addresses[through], 500_000)
 
         async def tell(number: int) -> int:
             ballot = pb.Ballot(agent=number, build=build, stage=stage, choice=choice, serial=serial + number)
@@ -307,48 +318,48 @@
         channel.close()
         return answers
 
-    def alive(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         return name in self.processes and self.processes[name].returncode is None
 
     # ---- faults ----
-    def signal(self, name: str, number: int) -> None:
-        if self.alive(name):
-            self.say("signal", who=name, number=signal.Signals(number).name)
-            self.counts[signal.Signals(number).name] += 1
+    def send_signal(self, name: str, number: int) -> None:
+        if self.is_running(name):
+            self.record_event("signal", who=name, number=signal.Signals(number).name)
+            self.fault_counts[signal.Signals(number).name] += 1
             self.processes[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
-        self.signal(name, signal.SIGKILL)
+        self.send_signal(name, signal.SIGKILL)
         await self.processes[name].wait()
 
-    def hurt(self, *command: str) -> None:
-        self.counts[command[1]] += 1
-        self.cut.command(list(command))
+    def command_proxy(self, *command: str) -> None:
+        self.fault_counts[command[1]] += 1
+        self.proxy.command(list(command))
 
-    def disk(self, name: str, **fault: Any) -> None:
-        """Of a controller or the receivers, from now on: slow (seconds) or tear (a signal), see disk.py; none: sound again."""
-        self.say("disk", who=name, **fault)
-        self.counts["disk"] += bool(fault)
+    def set_disk_fault(self, name: str, **fault: Any) -> None:
+        """Of a controller or the receivers, from now on: slow (seconds) or tear (a signal), see faulty_disk.py; none: sound again."""
+        self.record_event("disk", who=name, **fault)
+        self.fault_counts["disk"] += bool(fault)
         if fault:
             write_atomically(self._disk(name), json.dumps(fault))
         else:
             self._disk(name).unlink(missing_ok=True)
 
-    def apart(self, name: str, what: str = "hold", way: str = "both") -> None:
+    def isolate(self, name: str, what: str = "hold", way: str = "both") -> None:
         """From its peers: all routes from it and to it."""
-        for other in self.names:
+        for other in self.controller_names:
             if other != name:
                 for route in (f"{name}-{other}", f"{other}-{name}"):
-                    self.hurt(route, what, way)
+                    self.command_proxy(route, what, way)
 
-    async def trouble(self, note: Callable[[str], None]) -> None:
+    async def inject_random_fault(self, note: Callable[[str], None]) -> None:
         """One drawn fault, and its end."""
-        chance = self.chance
-        name = chance.choice(self.names)
+        chance = self.random
+        name = chance.choice(self.controller_names)
         if chance.random() < 0.6:  # where it hurts most
             with contextlib.suppress(TimeoutError):
-                name = await self.owner(
-                    chance.choice(("release", "steps owners") if self.scale.steps else ("release",)), 3
+                name = await self.wait_for_owner(
+                    chance.choice(("release", "steps owners") if self.config.steps else ("release",)), 3
                 )
         span = chance.choice((0.3, 0.8, 1.5, 3.0))
         kind = chance.choice(
@@ -369,70 +380,76 @@
                 "torn",
             )
         )
-        self.say("trouble", kind=kind, who=name, seconds=span)
-        note(f"{(monotonic() - self.began) / 1e6:5.1f} s  {kind}: {name}, {span:g} s")
+        self.record_event("trouble", kind=kind, who=name, seconds=span)
+        note(f"{(monotonic() - self.started_at) / 1e6:5.1f} s  {kind}: {name}, {span:g} s")
         match kind:
             case "kill":
-                if self.alive(name):
+                if self.is_running(name):
                     await self.kill(name)
                     await asyncio.sleep(span)
-                    await self.run(name)
+                    await self.start_process(name)
             case "stop":
-                self.signal(name, signal.SIGSTOP)
+                self.send_signal(name, signal.SIGSTOP)
                 await asyncio.sleep(span)
-                self.signal(name, signal.SIGCONT)
+                self.send_signal(name, signal.SIGCONT)
             case "apart":
-                self.apart(name)
+                self.isolate(name)
                 await asyncio.sleep(span)
-                self.apart(name, "pass")
+                self.isolate(name, "pass")
             case "one-way":
-                for other in self.names:
+                for other in self.controller_names:
                     if other != name:
-                        self.hurt(f"{name}-{other}", "hold", "out")
+                        self.command_proxy(f"{name}-{other}", "hold", "out")
                 await asyncio.sleep(span)
-                for other in self.names:
+                for other in self.controller_names:
                     if other != name:
-                        self.hurt(f"{name}-{other}", "pass")
+                        self.command_proxy(f"{name}-{other}", "pass")
             case "from-agents" | "from-machines":
                 route = f"agents-{name}" if kind == "from-agents" else f"{name}-machines"
-                self.hurt(route, "hold")
+                self.command_proxy(route, "hold")
                 await asyncio.sleep(span)
-                self.hurt(route, "pass")
+                self.command_proxy(route, "pass")
             case "slow":
-                for other in self.names:
+                for other in self.controller_names:
                     if other != name:
-                        self.hurt(f"{other}-{name}", "delay", "150ms")
+                        self.command_proxy(f"{other}-{name}", "delay", "150ms")
                 await asyncio.sleep(span)
-                for other in self.names:
+                for other in self.controller_names:
                     if other != name:
-                        self.hurt(f"{other}-{name}", "pass")
+                        self.command_proxy(f"{other}-{name}", "pass")
             case "reset":
-                self.hurt("all", "reset")
+                self.command_proxy("all", "reset")
             case "slow-disk":
-                self.disk(name, slow=chance.choice((0.05, 0.2, 0.6)))
+                self.set_disk_fault(name, slow=chance.choice((0.05, 0.2, 0.6)))
                 await asyncio.sleep(span)
-                self.disk(name)
+                self.set_disk_fault(name)
             case "torn":  # killed or stopped with half of a write on disk
                 how = chance.choice(("SIGKILL", "SIGSTOP"))
-                self.disk(name, tear=how)
+                self.set_disk_fault(name, tear=how)
                 await asyncio.sleep(span)
-                self.disk(name)  # where it wrote nothing meanwhile
-                self.signal(name, signal.SIGCONT)
-                if not self.alive(name):
-                    await self.run(name)
+                self.set_disk_fault(name)  # where it wrote nothing meanwhile
+                self.send_signal(name, signal.SIGCONT)
+                if not self.is_running(name):
+                    await self.start_process(name)
             case "all":
-                struck = self.names if self.receivers else [*self.names, "receivers"]
-                await asyncio.gather(*(self.kill(n) for n in struck if self.alive(n)))
-                await asyncio.gather(*(self.run(n) for n in struck))
+                struck = (
+                    self.controller_names
+                    if self.external_receivers
+                    else [*self.controller_names, "receivers"]
+                )
+                await asyncio.gather(*(self.kill(n) for n in struck if self.is_running(n)))
+                await asyncio.gather(*(self.start_process(n) for n in struck))
 
     # ---- the end ----
-    async def end(self) -> Verdict:
+    async def stop_and_check(self) -> ConsistencyReport:
         await self.stop()
-        return judge(list(self.documents.values()), self.record, self.followed, self.told_ok)
+        return check_consistency(
+            list(self.documents.values()), self.record_path, self.followed_stages, self.acknowledged_votes
+        )
 
     async def stop(self) -> None:
         """Ends all by SIGTERM."""
-        self.cut.command(["all", "pass"])
+        self.proxy.command(["all", "pass"])
         for agent in self.agents:
             agent.close()
         for name, process in self.processes.items():
@@ -445,31 +462,33 @@
             except (asyncio.TimeoutError, TimeoutError):
                 process.kill()
                 await process.wait()
-        if not self.record.exists():
-            self.record.touch()
+        if not self.record_path.exists():
+            self.record_path.touch()
         with open(self.folder / "facts.jsonl", "w") as file:
-            file.writelines(json.dumps(row) + "\n" for row in self.facts)
+            file.writelines(json.dumps(row) + "\n" for row in self.events)
 
-    async def play(self, seconds: float, note: Callable[[str], None] = lambda text: None) -> Verdict:
+    async def run_faults(
+        self, seconds: float, note: Callable[[str], None] = lambda text: None
+    ) -> ConsistencyReport:
         """Builds are offered and voted on while faults are drawn; quiet at the end, in which a leader has to be found."""
         await self.start()
         end, build, next_offer = monotonic() + int(seconds * 1e6), 2, 0
         try:
-            await self.owner()
+            await self.wait_for_owner()
             while monotonic() < end:
-                if monotonic() >= next_offer and await self.offer(build):
+                if monotonic() >= next_offer and await self.offer_build(build):
                     build, next_offer = build + 1, monotonic() + 8_000_000
-                await self.trouble(note)
-                await asyncio.sleep(self.chance.uniform(0.05, 0.6))
-            self.cut.command(["all", "pass"])
-            await self.owner(seconds=15)
+                await self.inject_random_fault(note)
+                await asyncio.sleep(self.random.uniform(0.05, 0.6))
+            self.proxy.command(["all", "pass"])
+            await self.wait_for_owner(seconds=15)
         finally:
-            verdict = await self.end()
+            verdict = await self.stop_and_check()
         return verdict
 
 
-async def play(
-    folder: Path, scale: Scale, seed: int, seconds: float, unfenced: bool, note: Callable[[str], None]
-) -> tuple[Verdict, Rig]:
+async def run_rig(
+    folder: Path, scale: RigConfig, seed: int, seconds: float, unfenced: bool, note: Callable[[str], None]
+) -> tuple[ConsistencyReport, Rig]:
     rig = Rig(folder, scale, seed, unfenced)
-    return await rig.play(seconds, note), rig
+    return await rig.run_faults(seconds, note), rig
--- a/cartweir/model/cluster.py
+++ b/cartweir/model/cluster.py
@@ -20,14 +20,14 @@
 from ..fleet.raft.records import PersistentState, VoteRecord
 from ..fleet.rollout import Answer, Choice, Phase, Rollout, RolloutPlan, StepsNeeded
 from ..fleet.step_target import StepTarget, StepVerdict
-from .world import Clock, Disk, Network, World
+from .simulation import Clock, Disk, Network, World
 
 STEPS = {"owners": ["add", "copy", "drop"]}
-FAULTS = ("no-fence", "no-fsync", "lease", "vote-twice", "forgets-epoch", "forgets-vote", "eager")
+SEEDED_FAULTS = ("no-fence", "no-fsync", "lease", "vote-twice", "forgets-epoch", "forgets-vote", "eager")
 
 
 @dataclass
-class Shape:
+class HistoryConfig:
     """Of one history. broken: a fault put into the program on purpose, which the verdict has to find."""
 
     members: int = 3
@@ -62,26 +62,26 @@
 
     def __init__(self) -> None:
         self.breaches: list[str] = []
-        self.seen: dict[str, list[tuple[FencingToken, Any]]] = {}  # by receiver and duty
-        self.steps: list[tuple[int, str]] = []  # carried out at the target
+        self.effects: dict[str, list[tuple[FencingToken, Any]]] = {}  # by receiver and duty
+        self.executed_steps: list[tuple[int, str]] = []  # carried out at the target
         self.leaders: dict[int, set[str]] = {}
-        self.log: dict[int, tuple[int, Any]] = {}  # decided, by index
-        self.ok: list[tuple[int, int]] = []  # ballots that were told ok: agent, serial
-        self.late = self.refused = 0
-        self.ownerless: list[int] = []  # microseconds, each time
-        self.counts: Counter = Counter()
+        self.committed: dict[int, tuple[int, Any]] = {}  # decided, by index
+        self.accepted_ballots: list[tuple[int, int]] = []  # ballots that were told ok: agent, serial
+        self.ignored_by_agents = self.refused_effects = 0
+        self.leaderless_times: list[int] = []  # microseconds, each time
+        self.fault_counts: Counter = Counter()
 
     def breach(self, text: str) -> None:
         if len(self.breaches) < 20:
             self.breaches.append(text)
 
     def decide(self, who: str, index: int, term: int, data: Any) -> None:
-        if self.log.setdefault(index, (term, data)) != (term, data):
+        if self.committed.setdefault(index, (term, data)) != (term, data):
             self.breach(f"entry {index}: {who} holds another than was decided")
 
     def take(self, receiver: str, token: FencingToken, what: Any) -> None:
         """An effect that a receiver carried out."""
-        rows = self.seen.setdefault(receiver, [])
+        rows = self.effects.setdefault(receiver, [])
         if rows and token < rows[-1][0]:
             self.breach(f"{receiver}: {tuple(token)} after {tuple(rows[-1][0])}")
         if rows and token == rows[-1][0] and what != rows[-1][1]:
@@ -113,8 +113,8 @@
         ballots: dict[int, tuple] = {}  # by agent: build, stage, choice, when
         told: dict[tuple[str, FencingToken], Any] = {}
         counted = set()
-        for index in sorted(self.log):
-            data = self.log[index][1]
+        for index in sorted(self.committed):
+            data = self.committed[index][1]
             if data is not None:
                 command = msgpack.unpackb(data, strict_map_key=False)
                 rollout = fleet.duties[RELEASE].state
@@ -127,16 +127,16 @@
                 self._recount(index, before, fleet, ballots)
             for name, duty in fleet.duties.items():
                 told[name, duty.token] = list(duty.state.view())
-        for receiver, rows in self.seen.items():
+        for receiver, rows in self.effects.items():
             for token, (duty, face) in rows:
                 if told.get((duty, token)) != face:
                     self.breach(f"{receiver}: {face} under {tuple(token)} was never decided")
-        for ballot in self.ok:
+        for ballot in self.accepted_ballots:
             if ballot not in counted:
                 self.breach(f"ballot {ballot} was told ok and is not in the log")
         for name, names in steps.items():
-            if self.steps != list(enumerate(names))[: len(self.steps)]:
-                self.breach(f"steps {name}: carried out as {self.steps}")
+            if self.executed_steps != list(enumerate(names))[: len(self.executed_steps)]:
+                self.breach(f"steps {name}: carried out as {self.executed_steps}")
 
 
 class Node:
@@ -364,7 +364,7 @@
             self.face = face
             self.cluster.history.take(self.name, token, (RELEASE, face))
         else:
-            self.cluster.history.late += 1
+            self.cluster.history.ignored_by_agents += 1
 
     def restart(self) -> None:
         if self.cluster.shape.broken == "forgets-epoch":
@@ -390,7 +390,7 @@
 
             def answered(answer: Any) -> None:
                 if answer == Answer.OK and self.open and self.open["serial"] == self.serial:
-                    self.cluster.history.ok.append((self.number, ballot["serial"]))
+                    self.cluster.history.accepted_ballots.append((self.number, ballot["serial"]))
                     self.open = None
 
             def there() -> None:
@@ -412,7 +412,7 @@
 
 
 class Cluster:
-    def __init__(self, seed: int, shape: Shape, node: type[Node] = Node) -> None:
+    def __init__(self, seed: int, shape: HistoryConfig, node: type[Node] = Node) -> None:
         self.world, self.shape, self.history = World(seed), shape, History()
         self.net = Network(self.world)
         self.plan = RolloutPlan(
@@ -472,7 +472,7 @@
                             ),
                         )
                 else:
-                    history.refused += 1
+                    history.refused_effects += 1
 
             self.net.send(node.name, "machines", arrive)
             return
@@ -483,7 +483,7 @@
                 verdict = StepVerdict.RUN
             if verdict == StepVerdict.RUN:
                 self.target.record(effect.duty, body.name)
-                history.steps.append((body.number, body.name))
+                history.executed_steps.append((body.number, body.name))
             if verdict in (StepVerdict.RUN, StepVerdict.DONE):
                 self.net.send(
                     "target",
@@ -507,7 +507,7 @@
                     ),
                 )
             else:
-                history.refused += 1
+                history.refused_effects += 1
 
         node.duty_manager.on_effect_result(effect, False, node.clock.mono())
         self.net.send(node.name, "target", do)
@@ -527,7 +527,7 @@
 
             def blink() -> None:
                 if node.up:
-                    self.history.counts["blink"] += 1
+                    self.history.fault_counts["blink"] += 1
                     node.crash()
                     self.world.after(self.world.chance.randrange(1, 3_000), lambda: node.up or node.start())
 
@@ -556,7 +556,7 @@
                 "put-back",
             )
         )
-        self.history.counts[kind] += 1
+        self.history.fault_counts[kind] += 1
         span = chance.choice((50_000, 300_000, 1_000_000, 3_000_000))
         match kind:
             case "kill" if node.up:
@@ -655,7 +655,7 @@
         if not led and self._since is None:
             self._since = self.world.now
         elif led and self._since is not None:
-            self.history.ownerless.append(self.world.now - self._since)
+            self.history.leaderless_times.append(self.world.now - self._since)
             self._since = None
 
     def _offer(self, build: int) -> None:
@@ -687,5 +687,5 @@
             node._turn()
 
 
-def play(seed: int, shape: Shape) -> History:
+def run_history(seed: int, shape: HistoryConfig) -> History:
     return Cluster(seed, shape).run()
--- a/cartweir/model/sizes.py
+++ b/cartweir/model/owner_failover.py
@@ -10,42 +10,42 @@
 from ..fleet.duties import RELEASE
 from ..fleet.fencing import Fence, FencingToken
 from ..fleet.raft.member import Role, Timing
-from .cluster import Cluster, Node, Shape
+from .cluster import Cluster, HistoryConfig, Node
 
 
 @dataclass
-class Fleet:
+class FailoverConfig:
     """word: microseconds of a controller's processor for one word to one agent. down: of a killed controller until it is back. admit:
     agents that a controller lets begin to listen a second."""
 
     controllers: int = 3
     agents: int = 440
     kills: int = 30
-    word: int = 60
-    admit: float = 200.0
-    down: int = 2_000_000
+    send_time: int = 60
+    admission_rate: float = 200.0
+    restart_delay: int = 2_000_000
     timing: Timing = field(default_factory=lambda: Timing(100_000, 500_000))
 
     @property
-    def apart(self) -> int:
+    def kill_interval(self) -> int:
         """From one kill to the next, and before the first: time for all to be let in twice over."""
-        return 6_000_000 + int(2e6 * self.agents / self.controllers / self.admit)
+        return 6_000_000 + int(2e6 * self.agents / self.controllers / self.admission_rate)
 
 
 @dataclass
-class Found:
+class FailoverResult:
     """first, last: from each kill until the first and the last agent followed a word of the next owner, whole microseconds. members:
     messages among controllers, in a second without faults; words: to agents, in all."""
 
-    first: list[int] = field(default_factory=list)
-    last: list[int] = field(default_factory=list)
-    members: float = 0.0
-    words: int = 0
+    first_agent_times: list[int] = field(default_factory=list)
+    last_agent_times: list[int] = field(default_factory=list)
+    member_messages: float = 0.0
+    stage_messages: int = 0
     refused: int = 0
     unfinished: int = 0  # kills after which not all were told before the next
 
 
-def middle(values: list[int]) -> int:
+def median(values: list[int]) -> int:
     """The median; 0 of none."""
     return sorted(values)[len(values) // 2] if values else 0
 
@@ -76,7 +76,7 @@
     def start(self) -> None:
         self.listeners: list[_Listener] = []
         self.known, self.free_at = FencingToken(), 0
-        self.admission = AdmissionControl.for_rate(self.cluster.fleet.admit, 5_000_000)
+        self.admission = AdmissionControl.for_rate(self.cluster.fleet.admission_rate, 5_000_000)
         super().start()
 
     def let_in(self, agent: _Listener) -> int | None:
@@ -111,8 +111,8 @@
     def _word(self, agent: _Listener) -> None:
         """One behind the other: a controller has one processor."""
         world, token = self.cluster.world, self.known
-        self.free_at = max(self.free_at, world.now) + self.cluster.fleet.word
-        self.cluster.found.words += 1
+        self.free_at = max(self.free_at, world.now) + self.cluster.fleet.send_time
+        self.cluster.found.stage_messages += 1
         world.at(
             self.free_at,
             lambda: self.up and self.cluster.net.send(self.name, agent.name, lambda: agent.told(token)),
@@ -120,10 +120,12 @@
 
 
 class Play(Cluster):
-    def __init__(self, seed: int, fleet: Fleet) -> None:
-        self.fleet, self.found = fleet, Found()
+    def __init__(self, seed: int, fleet: FailoverConfig) -> None:
+        self.fleet, self.found = fleet, FailoverResult()
         super().__init__(
-            seed, Shape(members=fleet.controllers, agents=0, faults=0, timing=fleet.timing), node=_Teller
+            seed,
+            HistoryConfig(members=fleet.controllers, agents=0, faults=0, timing=fleet.timing),
+            node=_Teller,
         )
         self.listeners = [_Listener(self, number) for number in range(fleet.agents)]
         self.killed_at, self.before, self.behind = (
@@ -137,9 +139,9 @@
             self.behind.discard(agent.name)
             took = self.world.now - self.killed_at
             if len(self.behind) == self.fleet.agents - 1:
-                self.found.first.append(took)
+                self.found.first_agent_times.append(took)
             if not self.behind:
-                self.found.last.append(took)
+                self.found.last_agent_times.append(took)
 
     def _kill(self) -> None:
         leader = next((n for n in self.nodes.values() if n.up and n.member.role == Role.LEADER), None)
@@ -155,22 +157,22 @@
         for agent in orphans:
             agent.at += 1
             self.world.after(self.world.chance.randrange(50_000, 100_000), agent.come)
-        self.world.after(self.fleet.down, owner.start)
-        self.world.after(self.fleet.apart, self._kill)
+        self.world.after(self.fleet.restart_delay, owner.start)
+        self.world.after(self.fleet.kill_interval, self._kill)
 
     def run(self) -> Any:
         world, fleet = self.world, self.fleet
         for agent in self.listeners:
             world.after(world.chance.randrange(1, 1_000_000), agent.come)
-        world.run(fleet.apart - 1_000_000)
-        sent, words = self.net.sent, self.found.words
-        world.run(fleet.apart)
-        self.found.members = float(self.net.sent - sent - (self.found.words - words))
-        world.at(fleet.apart, self._kill)
-        world.run(fleet.apart * (1 + fleet.kills) - 1)
+        world.run(fleet.kill_interval - 1_000_000)
+        sent, words = self.net.sent, self.found.stage_messages
+        world.run(fleet.kill_interval)
+        self.found.member_messages = float(self.net.sent - sent - (self.found.stage_messages - words))
+        world.at(fleet.kill_interval, self._kill)
+        world.run(fleet.kill_interval * (1 + fleet.kills) - 1)
         self.found.unfinished += bool(self.behind)
         return self.found
 
 
-def play(seed: int, fleet: Fleet) -> Found:
+def run_failovers(seed: int, fleet: FailoverConfig) -> FailoverResult:
     return Play(seed, fleet).run()
--- a/cartweir/model/plots.py
+++ b/cartweir/model/plots.py
@@ -8,7 +8,7 @@
 Point = tuple[float, float]
 
 
-def lines(path: Path, panels: Mapping[str, Mapping[str, Sequence[Point]]], across: str) -> None:
+def draw_lines(path: Path, panels: Mapping[str, Mapping[str, Sequence[Point]]], across: str) -> None:
     """panels: by what is drawn upward, its lines by name; sizes on a logarithmic axis, what is drawn too where it spans much. Raises ImportError without matplotlib, OSError where
     the file can't be written."""
     import matplotlib
--- a/cartweir/scale/controllers.py
+++ b/cartweir/scale/controllers.py
@@ -15,11 +15,11 @@
 
 import msgpack
 
-from ..controller import words
+from ..controller import message_codec
 from ..controller.daemon import Controller
-from ..controller.directory import found, opened
+from ..controller.directory import create_founding_directory, open_store
 from ..controller.settings import ControllerDocument
-from ..controller.store import frame
+from ..controller.store import encode_frame
 from ..fleet.admission import AdmissionControl
 from ..fleet.duties import RELEASE, FleetState
 from ..fleet.raft.log import MemberInfo, Snapshot
@@ -80,15 +80,18 @@
                 "members": {"a": "127.0.0.1:1"},
             }
         )
-        found(document)
-        self.store = opened(document)
+        create_founding_directory(document)
+        self.store = open_store(document)
         self.controller = Controller(document, self.store, SilentLog())
-        self._decided = self.controller.host.on_decided
-        self.controller.host.on_decided = self._measured
+        self._decided = self.controller.host.on_committed
+        self.controller.host.on_committed = self._measured
         self.controller.start()
         try:
             async with asyncio.timeout(PATIENCE):
-                while not self.controller.host.led or not self.controller.host.fleet.duties[RELEASE].epoch:
+                while (
+                    not self.controller.host.has_leader
+                    or not self.controller.host.fleet.duties[RELEASE].epoch
+                ):
                     await asyncio.sleep(0.01)
         except TimeoutError:
             raise MeasurementError(f"controller-news: no leader within {PATIENCE} s") from None
@@ -206,13 +209,13 @@
                 ready = member.take_ready()
                 if ready.records:
                     self.counts.add(Quantity.DISK_WRITES)
-                    self.counts.add(Quantity.DISK_BYTES, len(frame(0, ready.records)))
+                    self.counts.add(Quantity.DISK_BYTES, len(encode_frame(0, ready.records)))
                     member.persisted()
                 for to, message in ready.envelopes:
-                    packed = words.pack(message)
+                    packed = message_codec.pack(message)
                     envelope = pb.Words(cluster="scale", sender=name, mark=name, words=[packed])
                     self.counts.add_message(FRAME_HEADER + len(grpc.frame(envelope.SerializeToString())))
-                    self.members[to].receive(self.now, name, name, words.unpack(packed))
+                    self.members[to].receive(self.now, name, name, message_codec.unpack(packed))
                 moved = moved or bool(ready.records or ready.envelopes)
 
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -19,8 +19,8 @@
 from test_processes import Offering, end, world
 
 from cartweir.agent.key_journal_file import BOOT_ID_FILE, KeyJournalFile
-from cartweir.faults.comeback import Scene, play
-from cartweir.faults.rig import Rig, Scale, free_ports
+from cartweir.faults.mass_restart import RestartScenario, run_scenario
+from cartweir.faults.rig import Rig, RigConfig, free_addresses
 from cartweir.fleet.fencing import FencingToken
 from cartweir.fleet.key_journal import JournalHeader, encode_journal, read_journal
 from cartweir.proto import agent_pb2 as pb
@@ -55,26 +55,59 @@
 @pytest.mark.parametrize(
     "scene",
     [
-        Scene(share=1.0, state="kept", trial="good", agents=3, light=20, before=5.0, after=9.0),
-        Scene(share=1.0, state="lost", registry="empty", agents=3, light=20, before=4.0, after=10.0),
-        Scene(share=0.7, state="old", registry="away", agents=3, light=0, before=4.0, after=9.0),
+        RestartScenario(
+            share=1.0,
+            state="kept",
+            trial="good",
+            agents=3,
+            light_agents=20,
+            seconds_before=5.0,
+            seconds_after=9.0,
+        ),
+        RestartScenario(
+            share=1.0,
+            state="lost",
+            registry="empty",
+            agents=3,
+            light_agents=20,
+            seconds_before=4.0,
+            seconds_after=10.0,
+        ),
+        RestartScenario(
+            share=0.7,
+            state="old",
+            registry="away",
+            agents=3,
+            light_agents=0,
+            seconds_before=4.0,
+            seconds_after=9.0,
+        ),
     ],
     ids=["all, a build on trial", "all, files and list lost", "seven in ten, registry away"],
 )
 def test_killed_at_once_they_come_back_within_bounds(tmp_path, scene):
-    outcome = play(tmp_path, 3, replace(scene, rate=40.0), lambda line: None)
+    outcome = run_scenario(tmp_path, 3, replace(scene, rate=40.0), lambda line: None)
     assert not outcome.breaches and outcome.fell == 0
     assert outcome.told is not None and outcome.told < 8 * S
     assert outcome.share_after >= 0.9 * outcome.share_before > 0.5, outcome.text()
     # one list for each life, and as many again where the registry was away or had lost its own
     assert outcome.lists[0] <= 3 * scene.agents + 3, outcome.text()
-    assert outcome.listeners[0] <= 2 * (scene.agents + scene.light)
+    assert outcome.listeners[0] <= 2 * (scene.agents + scene.light_agents)
     assert outcome.connections[0] <= 2 * scene.agents
 
 
 def test_all_agents_and_the_owner_are_killed_in_one_moment_and_the_bad_build_still_goes_back(tmp_path):
-    scene = Scene(share=1.0, trial="bad", owner=True, agents=3, light=10, before=4.5, after=14.0, rate=40.0)
-    outcome = play(tmp_path, 5, scene, lambda line: None)
+    scene = RestartScenario(
+        share=1.0,
+        trial="bad",
+        kill_owner=True,
+        agents=3,
+        light_agents=10,
+        seconds_before=4.5,
+        seconds_after=14.0,
+        rate=40.0,
+    )
+    outcome = run_scenario(tmp_path, 5, scene, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
     assert outcome.release in ((2, "GOING_BACK"), (2, "WITHDRAWN")), outcome.text()
     assert outcome.share_after >= 0.9 * outcome.share_before
@@ -82,8 +115,16 @@
 
 def test_a_zone_is_back_cold_in_the_second_in_which_all_agents_are_and_none_is_pushed_over(tmp_path):
     """All agents have forgotten what they had sent, a third of the appliances is cold, and clients ask again."""
-    scene = Scene(share=1.0, state="lost", zone=True, agents=3, before=4.0, after=11.0, rate=60.0)
-    outcome = play(tmp_path, 11, scene, lambda line: None)
+    scene = RestartScenario(
+        share=1.0,
+        state="lost",
+        restart_zone=True,
+        agents=3,
+        seconds_before=4.0,
+        seconds_after=11.0,
+        rate=60.0,
+    )
+    outcome = run_scenario(tmp_path, 11, scene, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
     assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, (
         outcome.text()
@@ -92,8 +133,16 @@
 
 def test_a_rolling_restart_that_is_faster_than_agents_warm_up(tmp_path):
     """The next one is told to end 0.3 s behind the one before, which has not begun to serve by then."""
-    scene = Scene(share=1.0, rolling=0.3, agents=4, light=0, before=4.0, after=10.0, rate=40.0)
-    outcome = play(tmp_path, 12, scene, lambda line: None)
+    scene = RestartScenario(
+        share=1.0,
+        rolling_interval=0.3,
+        agents=4,
+        light_agents=0,
+        seconds_before=4.0,
+        seconds_after=10.0,
+        rate=40.0,
+    )
+    outcome = run_scenario(tmp_path, 12, scene, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
     assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, (
         outcome.text()
@@ -458,7 +507,7 @@
 @sockets
 async def test_restarted_with_registry_and_controllers_away_it_serves_and_sends_no_key_back(tmp_path):
     """Twice, with a build on trial, a key that it has answered, and the earlier build in the list that was kept."""
-    (registry_port, conveyor_port), said = free_ports(2), []
+    (registry_port, conveyor_port), said = free_addresses(2), []
     cut = Cut(
         [("registry", registry_port, ""), ("conveyor", conveyor_port, "")],
         lambda event, **facts: said.append(event),
@@ -704,11 +753,13 @@
     goes on, and those who are let in are no more a second than the settings say."""
 
     async def run():
-        rig = Rig(tmp_path / "rig", Scale(agents=6, admit=30))
+        rig = Rig(tmp_path / "rig", RigConfig(agents=6, admit=30))
         await rig.start()
         try:
-            owner, crowd, stop = await rig.owner(), [], asyncio.Event()
-            epoch = (await rig.until(lambda s: s["duties"]["release"]["epoch"]))["duties"]["release"]["epoch"]
+            owner, crowd, stop = await rig.wait_for_owner(), [], asyncio.Event()
+            epoch = (await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"]))["duties"][
+                "release"
+            ]["epoch"]
 
             async def nag(number, address):
                 channel = Channel(address, 300_000)
@@ -724,21 +775,23 @@
                 channel.close()
 
             for number in range(150):
-                crowd.append(asyncio.ensure_future(nag(number, rig.listen[rig.names[number % 3]])))
+                crowd.append(
+                    asyncio.ensure_future(nag(number, rig.listen_addresses[rig.controller_names[number % 3]]))
+                )
             began = time.monotonic()
-            assert await rig.offer(2)
-            status = await rig.until(
+            assert await rig.offer_build(2)
+            status = await rig.wait_for_status(
                 lambda s: s["release"]["build"] == 2 and s["release"]["phase"] == "RELEASED", 25
             )
             took = time.monotonic() - began
             assert status["duties"]["release"] | {"index": 0} == {"owner": owner, "epoch": epoch, "index": 0}
-            agents = [(await rig.ask(name, ask="status"))["agents"] for name in rig.names]
+            agents = [(await rig.ask(name, ask="status"))["agents"] for name in rig.controller_names]
             assert sum(a["told_to_come_back"] for a in agents) > 0
             assert max(a["let_in"] for a in agents) <= 30 * (took + 2) + 7 + 30
             stop.set()
             await asyncio.gather(*crowd)
         finally:
-            verdict = await rig.end()
+            verdict = await rig.stop_and_check()
         assert not verdict.breaches, verdict.text()
 
     asyncio.run(asyncio.wait_for(run(), 60))
--- a/tests/test_coming_back.py
+++ b/tests/test_coming_back.py
@@ -19,7 +19,7 @@
 from cartweir.fleet.leader_contact import LeaderContact
 from cartweir.fleet.list_filter import ListFilter, ListVersion
 from cartweir.fleet.recovery import CompletedCall, peak_count, recovery_time
-from cartweir.model.crowd import Crowd, play
+from cartweir.model.thundering_herd import HerdConfig, run_herd
 
 S = 1_000_000
 
@@ -229,19 +229,19 @@
     """Full lists of 3 ms each: without admission most of 10,000 agents have timed out by their answer."""
 
     def played(agents, *off, **more):
-        return play(1, Crowd(agents=agents, knows=0.0, off=off, **more))
+        return run_herd(1, HerdConfig(agents=agents, known_share=0.0, disabled=off, **more))
 
-    small, large = played(1_000).when(1.0, 1_000), played(10_000).when(1.0, 10_000)
+    small, large = played(1_000).completion_time(1.0, 1_000), played(10_000).completion_time(1.0, 10_000)
     assert large < 11 * small and large < 20 * S
     open_door = played(10_000, "admission", seconds=60.0)
-    assert open_door.wasted > 0.3 * open_door.busy
-    assert played(10_000).wasted == 0
-    assert played(10_000, "advice").peak > 2 * played(10_000).peak
+    assert open_door.wasted_time > 0.3 * open_door.busy_time
+    assert played(10_000).wasted_time == 0
+    assert played(10_000, "advice").peak_requests > 2 * played(10_000).peak_requests
 
 
 def test_no_defence_of_that_name():
     with pytest.raises(ValueError, match="are due"):
-        play(1, Crowd(off=("luck",)))
+        run_herd(1, HerdConfig(disabled=("luck",)))
 
 
 # ---- a controller to listen at ----
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from cartweir.controller.store import HEAD, OWN
-from cartweir.faults.light import LightAgent
-from cartweir.faults.rig import Rig, Scale, free_ports
+from cartweir.controller.store import FILE_ID_SIZE, FRAME_HEADER
+from cartweir.faults.light_agent import LightAgent
+from cartweir.faults.rig import Rig, RigConfig, free_addresses
 from cartweir.proto import agent_pb2 as pb
 from cartweir.wire.calls import CallError, Channel, Service
 
@@ -30,12 +30,12 @@
     def wrap(test):
         def run(tmp_path):
             async def play():
-                rig = Rig(tmp_path / "rig", Scale(**scale))
+                rig = Rig(tmp_path / "rig", RigConfig(**scale))
                 await rig.start()
                 try:
-                    await asyncio.wait_for(test(rig, await rig.owner()), seconds)
+                    await asyncio.wait_for(test(rig, await rig.wait_for_owner()), seconds)
                 finally:
-                    verdict = await rig.end()
+                    verdict = await rig.stop_and_check()
                 assert not verdict.breaches, verdict.text()
                 return verdict
 
@@ -58,7 +58,7 @@
 
 
 def other_than(rig, *names):
-    return next(name for name in rig.names if name not in names)
+    return next(name for name in rig.controller_names if name not in names)
 
 
 def released(build):
@@ -72,9 +72,9 @@
 async def until_late(rig, seconds=15):
     """Until a receiver has refused an effect."""
     for _ in range(int(seconds / 0.05)):
-        if rig.record.exists() and any(
+        if rig.record_path.exists() and any(
             '"taken": false' in line or '"how": "late"' in line
-            for line in rig.record.read_text().splitlines()
+            for line in rig.record_path.read_text().splitlines()
         ):
             return
         await asyncio.sleep(0.05)
@@ -83,105 +83,108 @@
 
 @rigged()
 async def test_a_release_with_its_steps_in_order_and_no_fault(rig, owner):
-    assert await rig.offer(2)
-    status = await rig.until(released(2))
+    assert await rig.offer_build(2)
+    status = await rig.wait_for_status(released(2))
     assert status["steps"]["owners"]["done"] == ["add", "copy", "drop", "check"]
 
 
 @rigged()
 async def test_the_owner_is_stopped_amid_a_stage_and_wakes_up_late(rig, owner):
-    assert await rig.offer(2)
-    await rig.until(stage_is(2, 0))
-    epoch = (await rig.until(lambda s: True))["duties"]["release"]["epoch"]
-    rig.signal(owner, signal.SIGSTOP)
-    status = await rig.until(lambda s: s["duties"]["release"]["epoch"] > epoch)
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(stage_is(2, 0))
+    epoch = (await rig.wait_for_status(lambda s: True))["duties"]["release"]["epoch"]
+    rig.send_signal(owner, signal.SIGSTOP)
+    status = await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"] > epoch)
     assert status["duties"]["release"]["owner"] != owner
-    await rig.until(released(2))
-    rig.signal(owner, signal.SIGCONT)
-    await rig.until(lambda s: s["name"] == owner and s["led"] and released(2)(s))
+    await rig.wait_for_status(released(2))
+    rig.send_signal(owner, signal.SIGCONT)
+    await rig.wait_for_status(lambda s: s["name"] == owner and s["led"] and released(2)(s))
 
 
 @rigged()
 async def test_a_call_of_the_old_owner_is_held_back_and_delivered_late(rig, owner):
-    rig.hurt(f"{owner}-machines", "hold", "out")
-    assert await rig.offer(2)
-    await rig.until(stage_is(2, 0))
+    rig.command_proxy(f"{owner}-machines", "hold", "out")
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(stage_is(2, 0))
     # it can't reach the machines though it hears its peers: it gives the duty up, and the release goes on
-    status = await rig.until(lambda s: s["duties"]["release"]["owner"] not in (owner, None))
+    status = await rig.wait_for_status(lambda s: s["duties"]["release"]["owner"] not in (owner, None))
     assert status["role"] == "leader" or status["led"]
-    await rig.until(stage_is(2, 1))
-    rig.hurt(f"{owner}-machines", "pass")
+    await rig.wait_for_status(stage_is(2, 1))
+    rig.command_proxy(f"{owner}-machines", "pass")
     await until_late(rig)
-    await rig.until(released(2))
+    await rig.wait_for_status(released(2))
 
 
 @rigged()
 async def test_the_owner_of_steps_is_killed_with_a_step_on_its_way(rig, owner):
-    steps_owner = await rig.owner("steps owners")
-    rig.hurt(f"{steps_owner}-steps", "hold", "back")  # the step runs, its answer is lost
-    assert await rig.offer(2)
-    await rig.until(lambda s: s["steps"]["owners"]["how"] == "begun")
-    while '"kind": "step"' not in rig.record.read_text():
+    steps_owner = await rig.wait_for_owner("steps owners")
+    rig.command_proxy(f"{steps_owner}-steps", "hold", "back")  # the step runs, its answer is lost
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(lambda s: s["steps"]["owners"]["how"] == "begun")
+    while '"kind": "step"' not in rig.record_path.read_text():
         await asyncio.sleep(0.02)
     await rig.kill(steps_owner)
-    status = await rig.until(lambda s: len(s["steps"]["owners"]["done"]) == 4)
+    status = await rig.wait_for_status(lambda s: len(s["steps"]["owners"]["done"]) == 4)
     assert status["duties"]["steps owners"]["owner"] != steps_owner
-    assert rig.record.read_text().count('"kind": "step"') == 4
+    assert rig.record_path.read_text().count('"kind": "step"') == 4
 
 
 @rigged()
 async def test_the_target_dies_between_steps_and_nothing_runs_twice(rig, owner):
-    assert await rig.offer(2)
+    assert await rig.offer_build(2)
     for count in range(1, 4):
-        await rig.until(lambda s: len(s["steps"]["owners"]["done"]) >= count)
+        await rig.wait_for_status(lambda s: len(s["steps"]["owners"]["done"]) >= count)
         await rig.kill("receivers")
-        await rig.run("receivers")
-    await rig.until(released(2))
+        await rig.start_process("receivers")
+    await rig.wait_for_status(released(2))
 
 
 @rigged()
 async def test_all_controllers_and_receivers_are_killed_at_once(rig, owner):
-    assert await rig.offer(2)
-    before = await rig.until(stage_is(2, 1))
-    await asyncio.gather(*(rig.kill(name) for name in [*rig.names, "receivers"]))
-    await asyncio.gather(*(rig.run(name) for name in [*rig.names, "receivers"]))
-    after = await rig.until(stage_is(2, 1))
+    assert await rig.offer_build(2)
+    before = await rig.wait_for_status(stage_is(2, 1))
+    await asyncio.gather(*(rig.kill(name) for name in [*rig.controller_names, "receivers"]))
+    await asyncio.gather(*(rig.start_process(name) for name in [*rig.controller_names, "receivers"]))
+    after = await rig.wait_for_status(stage_is(2, 1))
     assert after["decided"] >= before["decided"] and after["term"] > before["term"]
-    await rig.until(released(2))
+    await rig.wait_for_status(released(2))
 
 
 @rigged()
 async def test_a_partition_leaves_one_owner_and_its_other_side_tells_agents_nothing_new(rig, owner):
-    rig.apart(owner)
+    rig.isolate(owner)
     assert await asyncio.wait_for(_elsewhere(rig, owner), 20)
     other = other_than(rig, owner)
     assert (await rig.ask(other, ask="offer", build=2, machines=10))["taken"]
-    await rig.until(lambda s: s["name"] == owner and not s["led"])
+    await rig.wait_for_status(lambda s: s["name"] == owner and not s["led"])
     status = await rig.ask(owner, ask="status")
     assert status["release"]["build"] == 1 and status["role"] != "leader"
-    await rig.until(released(2))  # by the agents that have moved on to the other side
-    rig.apart(owner, "pass")
-    await rig.until(lambda s: s["name"] == owner and released(2)(s))
+    await rig.wait_for_status(released(2))  # by the agents that have moved on to the other side
+    rig.isolate(owner, "pass")
+    await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
 
 async def _elsewhere(rig, owner):
-    return await rig.until(
+    return await rig.wait_for_status(
         lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None)
     )
 
 
 @rigged()
 async def test_an_owner_that_hears_but_is_not_heard_stops(rig, owner):
-    for name in rig.names:
+    for name in rig.controller_names:
         if name != owner:
-            rig.hurt(f"{owner}-{name}", "hold", "out")
+            rig.command_proxy(f"{owner}-{name}", "hold", "out")
     await _elsewhere(rig, owner)
     # what its agents say is lost with it, though it hears the stage: it sends them to others, all twelve
-    await rig.until(lambda s: s["name"] == owner and not s["led"] and not s["agents"]["listening"])
-    while sum([(await rig.ask(name, ask="status"))["agents"]["listening"] for name in rig.names]) < 12:
+    await rig.wait_for_status(lambda s: s["name"] == owner and not s["led"] and not s["agents"]["listening"])
+    while (
+        sum([(await rig.ask(name, ask="status"))["agents"]["listening"] for name in rig.controller_names])
+        < 12
+    ):
         await asyncio.sleep(0.05)
-    assert await rig.offer(2)
-    await rig.until(released(2))
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(released(2))
 
 
 @rigged()
@@ -190,15 +193,17 @@
 
     async def agents(what):
         return {
-            name: (await rig.ask(name, ask="status"))["agents"][what] for name in rig.names if rig.alive(name)
+            name: (await rig.ask(name, ask="status"))["agents"][what]
+            for name in rig.controller_names
+            if rig.is_running(name)
         }
 
     while sum((await agents("listening")).values()) < 12:
         await asyncio.sleep(0.05)
-    status = await rig.until(lambda s: s["role"] == "leader")
+    status = await rig.wait_for_status(lambda s: s["role"] == "leader")
     before, listened = await agents("let_in"), (await agents("listening"))[status["name"]]
     await rig.kill(status["name"])
-    await rig.until(lambda s: s["role"] == "leader" and s["term"] > status["term"])
+    await rig.wait_for_status(lambda s: s["role"] == "leader" and s["term"] > status["term"])
     while sum((await agents("listening")).values()) < 12:
         await asyncio.sleep(0.05)
     after = await agents("let_in")
@@ -207,8 +212,8 @@
 
 @rigged()
 async def test_a_lost_directory_is_joined_anew_and_votes_only_once_it_holds_the_log(rig, owner):
-    assert await rig.offer(2)
-    await rig.until(stage_is(2, 1))
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(stage_is(2, 1))
     lost = other_than(rig, owner)
     await rig.kill(lost)
     shutil.rmtree(rig.folder / f"dir-{lost}")
@@ -216,8 +221,8 @@
     assert done.returncode == 1 and "controller join" in done.stderr and done.stderr.count("\n") == 1
     done = cartweir("controller", "join", "-s", rig.folder / f"{lost}.ini")
     mark = done.stdout.split("--mark ")[1].split()[0]
-    await rig.run(lost)
-    status = await rig.until(lambda s: s["name"] == lost)
+    await rig.start_process(lost)
+    status = await rig.wait_for_status(lambda s: s["name"] == lost)
     assert status["members"] == {} and status["release"]["build"] == 1  # what it hears does not count yet
     done = await asyncio.to_thread(
         cartweir,
@@ -227,41 +232,43 @@
         "--mark",
         mark,
         "--address",
-        rig.listen[lost],
+        rig.listen_addresses[lost],
         "--at",
-        rig.listen[owner],
+        rig.listen_addresses[owner],
     )
     assert done.returncode == 0, done.stderr
-    await rig.until(
+    await rig.wait_for_status(
         lambda s: s["name"] == lost and s["members"].get(lost, {}).get("votes") and stage_is(2, 1)(s)
     )
     await rig.kill(
-        other_than(rig, lost, await rig.owner()) if await rig.owner() == lost else await rig.owner()
+        other_than(rig, lost, await rig.wait_for_owner())
+        if await rig.wait_for_owner() == lost
+        else await rig.wait_for_owner()
     )
-    await rig.until(released(2))
+    await rig.wait_for_status(released(2))
 
 
 @rigged()
 async def test_a_copied_directory_at_another_address_leads_nobody(rig, owner):
     copied = other_than(rig, owner)
     shutil.copytree(rig.folder / f"dir-{copied}", rig.folder / "dir-copy")
-    (address,) = free_ports(1)
+    (address,) = free_addresses(1)
     text = (rig.folder / f"{copied}.ini").read_text()
-    text = text.replace(f"listen = {rig.listen[copied]}", f"listen = {address}").replace(
+    text = text.replace(f"listen = {rig.listen_addresses[copied]}", f"listen = {address}").replace(
         f"dir-{copied}", "dir-copy"
     )
     (rig.folder / "copy.ini").write_text(text)
-    rig.listen["copy"] = address
-    await rig.run("copy")
+    rig.listen_addresses["copy"] = address
+    await rig.start_process("copy")
     while (status := await rig.ask("copy", ask="status")) is None:
         await asyncio.sleep(0.05)
-    rig.signal(copied, signal.SIGSTOP)  # the copy alone speaks under that name now
-    assert await rig.offer(2)
-    await rig.until(released(2))
-    rig.signal(copied, signal.SIGCONT)
+    rig.send_signal(copied, signal.SIGSTOP)  # the copy alone speaks under that name now
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(released(2))
+    rig.send_signal(copied, signal.SIGCONT)
     status = await rig.ask("copy", ask="status")
     assert status["role"] != "leader" and status["release"]["build"] == 1
-    await rig.until(lambda s: s["name"] == copied and released(2)(s))
+    await rig.wait_for_status(lambda s: s["name"] == copied and released(2)(s))
 
 
 @pytest.mark.parametrize("who", ["leader", "another"])
@@ -270,62 +277,64 @@
 
 
 async def _put_back(who, rig, owner):
-    leader = (await rig.until(lambda s: s["role"] == "leader"))["name"]
+    leader = (await rig.wait_for_status(lambda s: s["role"] == "leader"))["name"]
     back = leader if who == "leader" else other_than(rig, leader)
-    rig.signal(back, signal.SIGSTOP)
+    rig.send_signal(back, signal.SIGSTOP)
     shutil.copytree(rig.folder / f"dir-{back}", rig.folder / "older")
-    rig.signal(back, signal.SIGCONT)
-    assert await rig.offer(2)
-    await rig.until(lambda s: s["name"] == back and stage_is(2, 1)(s))
+    rig.send_signal(back, signal.SIGCONT)
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(lambda s: s["name"] == back and stage_is(2, 1)(s))
     await rig.kill(back)
     shutil.rmtree(rig.folder / f"dir-{back}")
     shutil.copytree(rig.folder / "older", rig.folder / f"dir-{back}")
-    await rig.run(back)
+    await rig.start_process(back)
     assert await rig.processes[back].wait() == 1
     assert "is older than the one this member used last" in (rig.folder / f"{back}.log").read_text()
-    await rig.until(released(2))
+    await rig.wait_for_status(released(2))
 
 
 @rigged()
 async def test_a_disk_that_takes_no_more_ends_the_owner_and_loses_nothing(rig, owner):
     size = (rig.folder / f"{owner}.log").stat().st_size + 3000  # which its own words must not reach before
     resource.prlimit(rig.processes[owner].pid, resource.RLIMIT_FSIZE, (size, size))
-    rig.hurt(
+    rig.command_proxy(
         f"{owner}-machines", "hold"
     )  # the stage stays where it is, and what agents vote on fills the log
-    assert await rig.offer(2)
+    assert await rig.offer_build(2)
     assert await rig.processes[owner].wait() == 1
     last = (rig.folder / f"{owner}.log").read_text().splitlines()[-1]
     assert "is not on disk" in last and "File too large" in last
-    rig.hurt(f"{owner}-machines", "pass")
-    await rig.run(owner)
-    await rig.until(released(2))
-    await rig.until(lambda s: s["name"] == owner and released(2)(s))
+    rig.command_proxy(f"{owner}-machines", "pass")
+    await rig.start_process(owner)
+    await rig.wait_for_status(released(2))
+    await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
 
 @rigged()
 async def test_an_owner_whose_disk_is_slow_loses_its_duty_and_nothing_else(rig, owner):
     """Each fsync takes four times the election time-out, so that it is led by others as long as that lasts."""
-    rig.disk(owner, slow=1.2)
-    assert await rig.offer(2) or await rig.offer(2)
+    rig.set_disk_fault(owner, slow=1.2)
+    assert await rig.offer_build(2) or await rig.offer_build(2)
     assert await _elsewhere(rig, owner)
-    await rig.until(released(2))
-    rig.disk(owner)
-    await rig.until(lambda s: s["name"] == owner and s["led"] and released(2)(s))
+    await rig.wait_for_status(released(2))
+    rig.set_disk_fault(owner)
+    await rig.wait_for_status(lambda s: s["name"] == owner and s["led"] and released(2)(s))
 
 
 @rigged(election=700)
 async def test_a_peer_whose_disk_is_slow_holds_nobody_up(rig, owner):
     slow = other_than(rig, owner)
-    epoch = (await rig.until(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"]))["duties"][
-        "release"
-    ]["epoch"]
-    rig.disk(slow, slow=0.25)  # below the election time-out: it stays a member, and says each word late
-    assert await rig.offer(2)
-    status = await rig.until(released(2))
+    epoch = (await rig.wait_for_status(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"]))[
+        "duties"
+    ]["release"]["epoch"]
+    rig.set_disk_fault(
+        slow, slow=0.25
+    )  # below the election time-out: it stays a member, and says each word late
+    assert await rig.offer_build(2)
+    status = await rig.wait_for_status(released(2))
     assert (status["duties"]["release"]["owner"], status["duties"]["release"]["epoch"]) == (owner, epoch)
-    rig.disk(slow)
-    await rig.until(lambda s: s["name"] == slow and released(2)(s))
+    rig.set_disk_fault(slow)
+    await rig.wait_for_status(lambda s: s["name"] == slow and released(2)(s))
 
 
 @pytest.mark.parametrize("how", ["SIGKILL", "SIGSTOP"])
@@ -334,23 +343,23 @@
 
     @rigged()
     async def test(rig, owner):
-        assert await rig.offer(2)
-        await rig.until(stage_is(2, 0))
+        assert await rig.offer_build(2)
+        await rig.wait_for_status(stage_is(2, 0))
         log = rig.folder / f"dir-{owner}" / "log"
-        rig.disk(owner, tear=how)
+        rig.set_disk_fault(owner, tear=how)
         while (rig.folder / f"{owner}.disk").exists():  # taken away as it is torn
             await asyncio.sleep(0.01)
         if how == "SIGKILL":
             assert await rig.processes[owner].wait() == -signal.SIGKILL
             assert cut_short(log.read_bytes())
         assert await _elsewhere(rig, owner)
-        await rig.until(lambda s: s["name"] != owner and stage_is(2, 1)(s))
+        await rig.wait_for_status(lambda s: s["name"] != owner and stage_is(2, 1)(s))
         if how == "SIGKILL":
-            await rig.run(owner)
+            await rig.start_process(owner)
         else:
             assert cut_short(log.read_bytes())  # it has stood still all the time
-            rig.signal(owner, signal.SIGCONT)
-        await rig.until(lambda s: s["name"] == owner and released(2)(s))
+            rig.send_signal(owner, signal.SIGCONT)
+        await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
     test(tmp_path)
 
@@ -361,27 +370,29 @@
 
     @rigged(agents=6, votes=False)
     async def test(rig, owner):
-        assert await rig.offer(2)
-        leader = (await rig.until(lambda s: s["role"] == "leader" and stage_is(2, 0)(s)))["name"]
+        assert await rig.offer_build(2)
+        leader = (await rig.wait_for_status(lambda s: s["role"] == "leader" and stage_is(2, 0)(s)))["name"]
         other = other_than(rig, leader)
         await until_followed(rig, lambda row: row["build"] == 2, 6)
-        assert await rig.ballots(other, (101, 102), 2, 0, pb.ON) == [pb.Verdict.OK] * 2  # three are due
-        await rig.until(lambda s: s["name"] == leader and s["release"]["votes"]["on"] == 2)
-        rig.disk(leader, tear=how)
-        assert await rig.ballots(other, (103,), 2, 0, pb.ON) == [pb.Verdict.OK]
-        rig.told_ok += [(agent, 2, 0) for agent in (101, 102, 103)]  # the verdict looks for them in the log
+        assert await rig.cast_votes(other, (101, 102), 2, 0, pb.ON) == [pb.Verdict.OK] * 2  # three are due
+        await rig.wait_for_status(lambda s: s["name"] == leader and s["release"]["votes"]["on"] == 2)
+        rig.set_disk_fault(leader, tear=how)
+        assert await rig.cast_votes(other, (103,), 2, 0, pb.ON) == [pb.Verdict.OK]
+        rig.acknowledged_votes += [
+            (agent, 2, 0) for agent in (101, 102, 103)
+        ]  # the verdict looks for them in the log
         assert not (rig.folder / f"{leader}.disk").exists()  # it was torn
         if how == "SIGKILL":
             assert await rig.processes[leader].wait() == -signal.SIGKILL
-            await rig.run(leader)
+            await rig.start_process(leader)
         else:
-            rig.signal(leader, signal.SIGCONT)
+            rig.send_signal(leader, signal.SIGCONT)
         # votes stand for 5 s: where the election took longer than that, the others are told once more, as agents do
         while (at := (await rig.ask(other, ask="status"))["release"])["stage"] == 0:
-            await rig.ballots(other, (104, 105, 106), 2, 0, pb.ON)
+            await rig.cast_votes(other, (104, 105, 106), 2, 0, pb.ON)
             await asyncio.sleep(0.2)
         assert (at["build"], at["stage"]) == (2, 1)
-        await rig.until(lambda s: s["name"] == leader and s["led"] and stage_is(2, 1)(s))
+        await rig.wait_for_status(lambda s: s["name"] == leader and s["led"] and stage_is(2, 1)(s))
 
     test(tmp_path)
 
@@ -392,19 +403,21 @@
 
     @rigged(agents=9)
     async def test(rig, owner):
-        rig.hurt(f"agents-{owner}", "hold", "back")
-        assert await rig.offer(2)
+        rig.command_proxy(f"agents-{owner}", "hold", "back")
+        assert await rig.offer_build(2)
         await until_followed(rig, lambda row: row["build"] == 2, 1)
-        rig.signal(owner, how)
-        await rig.until(lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None))
+        rig.send_signal(owner, how)
+        await rig.wait_for_status(
+            lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None)
+        )
         await until_followed(rig, lambda row: row["build"] == 2 and row["stage"] == 2, 9)
-        rig.hurt(f"agents-{owner}", "pass")
+        rig.command_proxy(f"agents-{owner}", "pass")
         if how == signal.SIGSTOP:
-            rig.signal(owner, signal.SIGCONT)
+            rig.send_signal(owner, signal.SIGCONT)
         else:
-            await rig.run(owner)
-        await rig.until(released(2))
-        await rig.until(lambda s: s["name"] == owner and released(2)(s))
+            await rig.start_process(owner)
+        await rig.wait_for_status(released(2))
+        await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
     test(tmp_path)
 
@@ -412,37 +425,41 @@
 @rigged()
 async def test_an_owner_that_is_cut_off_from_agents_alone_goes_on(rig, owner):
     """It hears its peers and reaches the machines: agents hear of its decisions from the others, and the duty stays."""
-    rig.hurt(f"agents-{owner}", "mute")
-    epoch = (await rig.until(lambda s: s["duties"]["release"]["epoch"]))["duties"]["release"]["epoch"]
-    assert await rig.offer(2)
-    status = await rig.until(released(2))
+    rig.command_proxy(f"agents-{owner}", "mute")
+    epoch = (await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"]))["duties"]["release"][
+        "epoch"
+    ]
+    assert await rig.offer_build(2)
+    status = await rig.wait_for_status(released(2))
     assert (status["duties"]["release"]["owner"], status["duties"]["release"]["epoch"]) == (owner, epoch)
     await until_followed(rig, lambda row: row["build"] == 2 and row["phase"] == "released", 12)
 
 
 @rigged()
 async def test_an_owner_of_steps_that_cannot_reach_their_target_gives_the_duty_up(rig, owner):
-    holder = await rig.owner("steps owners")
-    rig.hurt(f"{holder}-steps", "mute")
-    assert await rig.offer(2)
-    status = await rig.until(lambda s: s["duties"]["steps owners"]["owner"] not in (holder, None))
+    holder = await rig.wait_for_owner("steps owners")
+    rig.command_proxy(f"{holder}-steps", "mute")
+    assert await rig.offer_build(2)
+    status = await rig.wait_for_status(lambda s: s["duties"]["steps owners"]["owner"] not in (holder, None))
     assert holder in status["members"] and status["members"][holder]["votes"]
-    await rig.until(released(2))
-    assert rig.record.read_text().count('"kind": "step"') == 4
+    await rig.wait_for_status(released(2))
+    assert rig.record_path.read_text().count('"kind": "step"') == 4
 
 
 @rigged()
 async def test_the_owner_of_steps_is_stopped_amid_one_and_wakes_up_late(rig, owner):
-    holder = await rig.owner("steps owners")
-    rig.hurt(f"{holder}-steps", "hold", "out")  # its call for the first step lies in the network
-    assert await rig.offer(2)
-    await rig.until(lambda s: s["steps"]["owners"]["how"] == "begun")
-    rig.signal(holder, signal.SIGSTOP)
-    await rig.until(lambda s: s["name"] != holder and len(s["steps"]["owners"]["done"]) == 4)
-    rig.hurt(f"{holder}-steps", "pass")
-    rig.signal(holder, signal.SIGCONT)
-    await rig.until(released(2))
-    ran = [row for row in map(json.loads, rig.record.read_text().splitlines()) if row.get("how") == "run"]
+    holder = await rig.wait_for_owner("steps owners")
+    rig.command_proxy(f"{holder}-steps", "hold", "out")  # its call for the first step lies in the network
+    assert await rig.offer_build(2)
+    await rig.wait_for_status(lambda s: s["steps"]["owners"]["how"] == "begun")
+    rig.send_signal(holder, signal.SIGSTOP)
+    await rig.wait_for_status(lambda s: s["name"] != holder and len(s["steps"]["owners"]["done"]) == 4)
+    rig.command_proxy(f"{holder}-steps", "pass")
+    rig.send_signal(holder, signal.SIGCONT)
+    await rig.wait_for_status(released(2))
+    ran = [
+        row for row in map(json.loads, rig.record_path.read_text().splitlines()) if row.get("how") == "run"
+    ]
     assert [row["name"] for row in ran] == ["add", "copy", "drop", "check"]
 
 
@@ -452,22 +469,26 @@
 
     @rigged()
     async def test(rig, owner):
-        for name in rig.names:
-            rig.hurt(f"{name}-machines", "hold")  # so that steps alone are written
+        for name in rig.controller_names:
+            rig.command_proxy(f"{name}-machines", "hold")  # so that steps alone are written
         if step:
-            rig.hurt(
-                f"{await rig.owner('steps owners')}-steps", "delay", "300ms"
+            rig.command_proxy(
+                f"{await rig.wait_for_owner('steps owners')}-steps", "delay", "300ms"
             )  # time to strike at one in the middle
-        assert await rig.offer(2)
-        await rig.until(lambda s: len(s["steps"]["owners"]["done"]) >= step)
-        rig.disk("receivers", tear="SIGKILL")
+        assert await rig.offer_build(2)
+        await rig.wait_for_status(lambda s: len(s["steps"]["owners"]["done"]) >= step)
+        rig.set_disk_fault("receivers", tear="SIGKILL")
         assert await rig.processes["receivers"].wait() == -signal.SIGKILL
-        assert b'"kind": "step"' in rig.record.read_bytes().rpartition(b"\n")[2]
-        for name in rig.names:
-            rig.hurt(f"{name}-machines", "pass")
-        await rig.run("receivers")
-        await rig.until(released(2))
-        ran = [row for row in map(json.loads, rig.record.read_text().splitlines()) if row.get("how") == "run"]
+        assert b'"kind": "step"' in rig.record_path.read_bytes().rpartition(b"\n")[2]
+        for name in rig.controller_names:
+            rig.command_proxy(f"{name}-machines", "pass")
+        await rig.start_process("receivers")
+        await rig.wait_for_status(released(2))
+        ran = [
+            row
+            for row in map(json.loads, rig.record_path.read_text().splitlines())
+            if row.get("how") == "run"
+        ]
         assert [row["name"] for row in ran] == ["add", "copy", "drop", "check"]
 
     test(tmp_path)
@@ -475,11 +496,11 @@
 
 def cut_short(log):
     """Whether the last frame of a log lacks its end."""
-    at = OWN
+    at = FILE_ID_SIZE
     while at < len(log):
-        if at + HEAD.size > len(log):
+        if at + FRAME_HEADER.size > len(log):
             return True
-        at += HEAD.size + HEAD.unpack_from(log, at)[0]
+        at += FRAME_HEADER.size + FRAME_HEADER.unpack_from(log, at)[0]
     return at > len(log)
 
 
@@ -487,8 +508,8 @@
 async def test_hand_over_changes_the_owner_thrice_within_a_stage(rig, owner):
     for agent in rig.agents:
         agent.is_voter = False
-    assert await rig.offer(2)
-    seen, epoch = [owner], (await rig.until(stage_is(2, 0)))["duties"]["release"]["epoch"]
+    assert await rig.offer_build(2)
+    seen, epoch = [owner], (await rig.wait_for_status(stage_is(2, 0)))["duties"]["release"]["epoch"]
     for _ in range(3):
         done = await asyncio.to_thread(
             cartweir,
@@ -496,15 +517,15 @@
             "hand-over",
             "release",
             "--at",
-            ",".join(rig.listen[name] for name in rig.names),
+            ",".join(rig.listen_addresses[name] for name in rig.controller_names),
         )
         assert done.returncode == 0, done.stderr
         # of the last one that was seen: the next status may come from a member that has not got so far
-        status = await rig.until(lambda s: s["duties"]["release"]["epoch"] > epoch)
+        status = await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"] > epoch)
         epoch = status["duties"]["release"]["epoch"]
         seen.append(status["duties"]["release"]["owner"])
     assert all(a != b for a, b in zip(seen, seen[1:]))
-    await rig.until(
+    await rig.wait_for_status(
         lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] == epoch
     )  # it has got so far, too
     rows = await rig.ask(owner, ask="history")
@@ -513,32 +534,34 @@
 
 def test_recover_begins_an_incarnation_above_all_epochs(tmp_path):
     async def play():
-        rig = Rig(tmp_path / "rig", Scale())
+        rig = Rig(tmp_path / "rig", RigConfig())
         await rig.start()
         try:
-            owner = await rig.owner()
-            assert await rig.offer(2)
-            before = await rig.until(stage_is(2, 1))
-            await asyncio.gather(*(rig.kill(name) for name in rig.names))
+            owner = await rig.wait_for_owner()
+            assert await rig.offer_build(2)
+            before = await rig.wait_for_status(stage_is(2, 1))
+            await asyncio.gather(*(rig.kill(name) for name in rig.controller_names))
             shutil.rmtree(rig.folder / f"dir-{owner}")
-            left, lost = [name for name in rig.names if name != owner]
-            await rig.run(left)
-            status = await rig.until(lambda s: s["name"] == left)
-            assert not status["led"] and not await rig.offer(3)  # alone it leads nobody
+            left, lost = [name for name in rig.controller_names if name != owner]
+            await rig.start_process(left)
+            status = await rig.wait_for_status(lambda s: s["name"] == left)
+            assert not status["led"] and not await rig.offer_build(3)  # alone it leads nobody
             await rig.kill(left)
             refused = cartweir("controller", "recover", "-s", rig.folder / f"{left}.ini")
             assert refused.returncode == 2 and "--others-are-gone" in refused.stderr
             done = cartweir("controller", "recover", "-s", rig.folder / f"{left}.ini", "--others-are-gone")
             assert done.returncode == 0 and "incarnation 1" in done.stdout, done.stderr
-            await rig.run(left)
-            status = await rig.until(lambda s: s["name"] == left and s["duties"]["release"]["owner"] == left)
+            await rig.start_process(left)
+            status = await rig.wait_for_status(
+                lambda s: s["name"] == left and s["duties"]["release"]["owner"] == left
+            )
             assert (
                 status["duties"]["release"]["epoch"] > before["duties"]["release"]["epoch"]
                 and status["incarnation"] == 1
             )
-            await rig.run(lost)  # one of the old incarnation that comes back after all is not heard
-            await rig.until(lambda s: s["name"] == left and released(2)(s))
-            status = await rig.until(lambda s: s["name"] == lost)  # once it listens
+            await rig.start_process(lost)  # one of the old incarnation that comes back after all is not heard
+            await rig.wait_for_status(lambda s: s["name"] == left and released(2)(s))
+            status = await rig.wait_for_status(lambda s: s["name"] == lost)  # once it listens
             assert status["role"] != "leader" and status["incarnation"] == 0
         finally:
             await rig.stop()
@@ -550,19 +573,19 @@
     """The verdict's own proof: the same late call as above, at receivers that take whatever comes."""
 
     async def play():
-        rig = Rig(tmp_path / "rig", Scale(), unfenced=True)
+        rig = Rig(tmp_path / "rig", RigConfig(), unfenced=True)
         await rig.start()
         try:
-            owner = await rig.owner()
-            rig.hurt(f"{owner}-machines", "hold", "out")
-            assert await rig.offer(2)
-            await rig.until(stage_is(2, 1))
-            lines = len(rig.record.read_text().splitlines())
-            rig.hurt(f"{owner}-machines", "pass")
-            while len(rig.record.read_text().splitlines()) < lines + 2:
+            owner = await rig.wait_for_owner()
+            rig.command_proxy(f"{owner}-machines", "hold", "out")
+            assert await rig.offer_build(2)
+            await rig.wait_for_status(stage_is(2, 1))
+            lines = len(rig.record_path.read_text().splitlines())
+            rig.command_proxy(f"{owner}-machines", "pass")
+            while len(rig.record_path.read_text().splitlines()) < lines + 2:
                 await asyncio.sleep(0.05)
         finally:
-            verdict = await rig.end()
+            verdict = await rig.stop_and_check()
         assert any("was carried out after" in breach for breach in verdict.breaches), verdict.text()
 
     asyncio.run(asyncio.wait_for(play(), 60))
@@ -619,9 +642,9 @@
 )
 def test_bad_settings_and_another_ones_directory_end_with_one_line(tmp_path, change, says):
     async def make():
-        rig = Rig(tmp_path / "rig", Scale(agents=0))
+        rig = Rig(tmp_path / "rig", RigConfig(agents=0))
         await rig.start()
-        await rig.end()
+        await rig.stop_and_check()
         return rig
 
     rig = asyncio.run(make())
@@ -646,26 +669,28 @@
 @rigged(agents=6, votes=False)
 async def test_the_cap_is_lowered_while_the_old_owner_has_the_higher_one_on_its_lips(rig, owner):
     """It is stopped in stage 1, a build goes back meanwhile, it wakes up: no agent hears the higher cap again."""
-    assert await rig.offer(2)
+    assert await rig.offer_build(2)
     other = other_than(rig, owner)
     while (at := (await rig.ask(other, ask="status"))["release"])["build"] == 1 or at["stage"] == 0:
-        await rig.ballots(other, (101, 102, 103), 2, 0, pb.ON)
+        await rig.cast_votes(other, (101, 102, 103), 2, 0, pb.ON)
         await asyncio.sleep(0.2)
     await until_followed(rig, lambda row: row["stage"] == 1, 6)
-    rig.signal(owner, signal.SIGSTOP)
-    await rig.until(lambda s: s["duties"]["release"]["owner"] not in (owner, None))
-    assert await rig.ballots(other_than(rig, owner), (201, 202, 203), 2, 1, pb.BACK) == [pb.Verdict.OK] * 3
+    rig.send_signal(owner, signal.SIGSTOP)
+    await rig.wait_for_status(lambda s: s["duties"]["release"]["owner"] not in (owner, None))
+    assert await rig.cast_votes(other_than(rig, owner), (201, 202, 203), 2, 1, pb.BACK) == [pb.Verdict.OK] * 3
     await until_followed(rig, lambda row: row["phase"] in ("going back", "withdrawn"), 6)
-    lowered = len(rig.followed)
-    rig.signal(owner, signal.SIGCONT)
-    epoch = (await rig.until(lambda s: s["release"]["phase"] == "WITHDRAWN"))["duties"]["release"]["epoch"]
-    await rig.until(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] >= epoch)
-    assert all(row["cap"] == 0 for row in rig.followed[lowered:])
+    lowered = len(rig.followed_stages)
+    rig.send_signal(owner, signal.SIGCONT)
+    epoch = (await rig.wait_for_status(lambda s: s["release"]["phase"] == "WITHDRAWN"))["duties"]["release"][
+        "epoch"
+    ]
+    await rig.wait_for_status(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] >= epoch)
+    assert all(row["cap"] == 0 for row in rig.followed_stages[lowered:])
 
 
 async def until_followed(rig, holds, agents):
     for _ in range(400):
-        if len({row["agent"] for row in rig.followed if holds(row)}) >= agents:
+        if len({row["agent"] for row in rig.followed_stages if holds(row)}) >= agents:
             return
         await asyncio.sleep(0.05)
     raise TimeoutError("not all agents followed it")
@@ -688,15 +713,15 @@
     """Each under an epoch of its own, twelve calls in one moment: the target's process does it once, and says so to all others."""
 
     async def run():
-        rig = Rig(tmp_path / "rig", Scale(agents=0))
+        rig = Rig(tmp_path / "rig", RigConfig(agents=0))
         await rig.start()
         try:
-            for name in rig.names:
+            for name in rig.controller_names:
                 await rig.kill(name)
-            channels = [Channel(rig.listen["receivers"], 500_000) for _ in range(2)]
+            channels = [Channel(rig.listen_addresses["receivers"], 500_000) for _ in range(2)]
             while not await answers(channels[0]):
                 await asyncio.sleep(0.05)
-            for number, name in enumerate(rig.scale.steps):
+            for number, name in enumerate(rig.config.steps):
 
                 async def ask(epoch, channel, number=number, name=name):
                     step = pb.Step(
@@ -719,9 +744,9 @@
                 channel.close()
         finally:
             await rig.stop()
-        rows = [json.loads(line) for line in rig.record.read_text().splitlines()]
+        rows = [json.loads(line) for line in rig.record_path.read_text().splitlines()]
         ran = [row["name"] for row in rows if row.get("how") == "run" and row["duty"] == "steps owners"]
-        assert ran == list(rig.scale.steps)
+        assert ran == list(rig.config.steps)
 
     asyncio.run(run())
 
@@ -729,39 +754,39 @@
 @rigged(agents=4, votes=False)
 async def test_a_vote_whose_answer_is_lost_with_its_agent_counts_once(rig, owner):
     """The agent is restarted before the answer comes, and votes under another number: one of the two that are due still lacks."""
-    assert await rig.offer(2)
+    assert await rig.offer_build(2)
     other = other_than(rig, owner)
-    await rig.until(lambda s: s["name"] == other and s["release"]["build"] == 2)
-    rig.hurt(f"agents-{other}", "hold", "back")
-    lost = Channel(dict(zip(rig.names, rig.addresses))[other], 500_000)
+    await rig.wait_for_status(lambda s: s["name"] == other and s["release"]["build"] == 2)
+    rig.command_proxy(f"agents-{other}", "hold", "back")
+    lost = Channel(dict(zip(rig.controller_names, rig.agent_addresses))[other], 500_000)
     ballot = pb.Ballot(agent=0, build=2, stage=0, choice=pb.ON, serial=71)
     with pytest.raises(CallError):
         await lost.unary("/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), 700_000)
     lost.close()
-    rig.hurt(f"agents-{other}", "pass")
-    assert await rig.ballots(other, (0,), 2, 0, pb.ON) == [pb.Verdict.OK]  # its next life
+    rig.command_proxy(f"agents-{other}", "pass")
+    assert await rig.cast_votes(other, (0,), 2, 0, pb.ON) == [pb.Verdict.OK]  # its next life
     release = (await rig.ask(other, ask="status"))["release"]
     assert (release["stage"], release["votes"]) == (0, {"on": 1, "back": 0})
-    assert await rig.ballots(other, (0, 1), 2, 0, pb.ON) == [pb.Verdict.OK] * 2
-    await rig.until(stage_is(2, 1))
+    assert await rig.cast_votes(other, (0, 1), 2, 0, pb.ON) == [pb.Verdict.OK] * 2
+    await rig.wait_for_status(stage_is(2, 1))
 
 
 @rigged(agents=4, votes=False)
 async def test_an_agent_in_a_crash_loop_votes_no_stage_on_alone(rig, owner):
-    assert await rig.offer(2)
+    assert await rig.offer_build(2)
     await until_followed(rig, lambda row: row["build"] == 2, 4)
     looping = rig.agents[0]
     looping.votes = True
     for life in range(8):
         looping.stop()
         looping.start()
-        told = len(rig.told_ok)
-        while len(rig.told_ok) == told:  # each life has voted
+        told = len(rig.acknowledged_votes)
+        while len(rig.acknowledged_votes) == told:  # each life has voted
             await asyncio.sleep(0.02)
-    assert {agent for agent, *_ in rig.told_ok} == {0}
+    assert {agent for agent, *_ in rig.acknowledged_votes} == {0}
     release = (await rig.ask(owner, ask="status"))["release"]
     assert (release["stage"], release["votes"]) == (0, {"on": 1, "back": 0})
     rig.agents[1].votes = True
     rig.agents[1].stop()
     rig.agents[1].start()
-    await rig.until(stage_is(2, 1))
+    await rig.wait_for_status(stage_is(2, 1))
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -466,7 +466,11 @@
         it.registry._started[cold.name] = 1
         await it.knows(lambda dispatcher: len(dispatcher.appliances) == 3)
         for part in it.parts:  # it has started just now, and none is cold in these settings but by
-            part.dispatcher.settings = {**part.dispatcher.settings, "cold_share": 0.3, "warm_time": 60_000_000}
+            part.dispatcher.settings = {
+                **part.dispatcher.settings,
+                "cold_share": 0.3,
+                "warm_time": 60_000_000,
+            }
             part.dispatcher.appliance_list.appliances[cold.name].started = part.clock.now()
         it.decider_ends()
         await until(lambda: all(part.dispatcher.silence.alone for part in it.parts))
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from cartweir.faults.day import ControlledDay
-from cartweir.faults.real import FaultDay
-from cartweir.faults.verdict import judge
+from cartweir.faults.consistency_check import check_consistency
+from cartweir.faults.controller_day import ControllerDay
+from cartweir.faults.fault_day import FaultDay
 from cartweir.settings.ini import BadInputError, read_agent
 from cartweir.standin.day import Day
 from cartweir.standin.replay import Replay
@@ -142,12 +142,14 @@
 def test_a_short_bad_day_on_three_controllers_keeps_the_rules(tmp_path):
     """The release's owner is killed, stopped and cut off; the verdict on the agents is the audit's, from their sockets."""
     said = []
-    day = ControlledDay(tmp_path, 4, 14.0, said.append, rate=60.0)
+    day = ControllerDay(tmp_path, 4, 14.0, said.append, rate=60.0)
     report = asyncio.run(day.run())
     assert report.breaches == [], report.text()
-    assert not day.verdict.breaches and day.verdict.effects > 0 and day.verdict.owners >= 2, (
-        day.verdict.text()
-    )
+    assert (
+        not day.consistency_report.breaches
+        and day.consistency_report.effects > 0
+        and day.consistency_report.owners >= 2
+    ), day.consistency_report.text()
     assert sum("fault who controller" in line for line in said) == 3
     rows = [json.loads(line) for line in (tmp_path / "receivers.jsonl").read_text().splitlines()]
     taken = [(row["epoch"], row["index"]) for row in rows if row["taken"]]
@@ -160,11 +162,17 @@
     day = FaultDay(tmp_path, 3, 18.0, lambda line: None, agents=2, rate=40.0)
     report = asyncio.run(day.run())
     assert report.breaches == [], report.text()
-    assert not day.verdict.breaches and day.verdict.effects > 0, day.verdict.text()
-    assert sum(day.rig.counts.values()) >= 8 and sum(c["succeeded"] for c in report.table.values()) > 200
+    assert not day.consistency_report.breaches and day.consistency_report.effects > 0, (
+        day.consistency_report.text()
+    )
+    assert (
+        sum(day.rig.fault_counts.values()) >= 8 and sum(c["succeeded"] for c in report.table.values()) > 200
+    )
     # the verdict on what agents followed: the same rows, one of them told again behind a later one
-    rows = day.followed()
+    rows = day.followed_stages()
     assert len({(row["epoch"], row["index"]) for row in rows if row["agent"] == 0}) > 1
     first = next(row for row in rows if row["agent"] == 0)
-    again = judge(list(day.rig.documents.values()), tmp_path / "receivers.jsonl", [*rows, first], [])
+    again = check_consistency(
+        list(day.rig.documents.values()), tmp_path / "receivers.jsonl", [*rows, first], []
+    )
     assert any("agent 0: followed" in breach for breach in again.breaches)
--- a/tests/test_member_codec.py
+++ b/tests/test_member_codec.py
@@ -5,7 +5,7 @@
 import msgpack
 import pytest
 
-from cartweir.controller import words
+from cartweir.controller import message_codec
 from cartweir.fleet.raft.log import Entry, EntryKind, LogPosition, MemberInfo, Snapshot
 from cartweir.fleet.raft.messages import (
     AppendEntries,
@@ -42,8 +42,8 @@
     ],
 )
 def test_a_message_has_the_form_that_earlier_versions_read(message, form):
-    assert msgpack.unpackb(words.pack(message)) == form
-    assert words.unpack(words.pack(message)) == message
+    assert msgpack.unpackb(message_codec.pack(message)) == form
+    assert message_codec.unpack(message_codec.pack(message)) == message
 
 
 @pytest.mark.parametrize(
@@ -59,5 +59,5 @@
     ],
 )
 def test_a_message_of_another_form_is_refused(form):
-    with pytest.raises(words.BadWord):
-        words.unpack(msgpack.packb(form))
+    with pytest.raises(message_codec.MalformedMessageError):
+        message_codec.unpack(msgpack.packb(form))
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -13,8 +13,8 @@
 from cartweir.fleet.raft.log import MemberInfo, Snapshot
 from cartweir.fleet.raft.member import ChangeRefusedError, Member, MemberId, Role, Timing
 from cartweir.fleet.raft.records import PersistentState
-from cartweir.model import sizes
-from cartweir.model.cluster import Shape, play
+from cartweir.model import owner_failover
+from cartweir.model.cluster import HistoryConfig, run_history
 
 # seeds within which each fault is found, from 0 on; a verdict that finds none of them proves nothing
 FOUND = {"no-fence": 1, "no-fsync": 1, "lease": 1, "vote-twice": 1, "forgets-epoch": 40, "eager": 150}
@@ -23,19 +23,25 @@
 @pytest.mark.parametrize("members, seeds", [(3, range(60)), (5, range(15)), (1, range(3))])
 def test_no_history_of_faults_breaks_what_receivers_may_see(members, seeds):
     for seed in seeds:
-        history = play(seed, Shape(members=members))
+        history = run_history(seed, HistoryConfig(members=members))
         assert not history.breaches, (seed, history.breaches)
-        assert len(history.log) > 50 and history.ok
+        assert len(history.committed) > 50 and history.accepted_ballots
 
 
 @pytest.mark.parametrize("broken", FOUND)
 def test_a_fault_put_in_on_purpose_is_found(broken):
-    assert any(play(seed, Shape(broken=broken)).breaches for seed in range(FOUND[broken])), broken
+    assert any(run_history(seed, HistoryConfig(broken=broken)).breaches for seed in range(FOUND[broken])), (
+        broken
+    )
 
 
 def test_a_seed_replays_its_history_to_the_letter():
-    first, again = (play(7, Shape()) for _ in range(2))
-    assert first.log == again.log and first.seen == again.seen and first.counts == again.counts
+    first, again = (run_history(7, HistoryConfig()) for _ in range(2))
+    assert (
+        first.committed == again.committed
+        and first.effects == again.effects
+        and first.fault_counts == again.fault_counts
+    )
 
 
 class Trio:
@@ -233,11 +239,20 @@
 
 
 def test_the_next_owner_is_heard_of_as_soon_by_many_agents_as_by_few():
-    few, many = (sizes.play(1, sizes.Fleet(3, agents, kills=5, admit=100.0)) for agents in (10, 600))
+    few, many = (
+        owner_failover.run_failovers(
+            1, owner_failover.FailoverConfig(3, agents, kills=5, admission_rate=100.0)
+        )
+        for agents in (10, 600)
+    )
     for found in (few, many):
-        assert len(found.first) == len(found.last) == 5 and not found.unfinished and found.members > 0
-    assert sizes.middle(many.first) < 1.2 * sizes.middle(few.first)
+        assert (
+            len(found.first_agent_times) == len(found.last_agent_times) == 5
+            and not found.unfinished
+            and found.member_messages > 0
+        )
+    assert owner_failover.median(many.first_agent_times) < 1.2 * owner_failover.median(few.first_agent_times)
     assert (
-        max(many.last) > 2 * max(few.last) and many.refused
+        max(many.last_agent_times) > 2 * max(few.last_agent_times) and many.refused
     )  # those that listened at the killed one are let in by and by
-    assert many.words < 3 * 600 * (1 + 5)
+    assert many.stage_messages < 3 * 600 * (1 + 5)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cartweir.controller.store import DiskFailed, Store, StoreError
+from cartweir.controller.store import DiskFailedError, Store, StoreError
 from cartweir.fleet.raft.log import Entry, EntryKind, MemberInfo, Snapshot
 from cartweir.fleet.raft.records import EntryRecord, SnapshotRecord, VoteRecord
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    Store.make(tmp_path / "dir", IDENTITY, FIRST)
+    Store.create(tmp_path / "dir", IDENTITY, FIRST)
     store = Store(tmp_path / "dir")
     store.open()
     store.save([VoteRecord(1, "a"), entry(1)])
@@ -101,7 +101,7 @@
     store = Store(folder)
     store.open()
     store.sync = sync
-    with pytest.raises(DiskFailed, match="fsync"):
+    with pytest.raises(DiskFailedError, match="fsync"):
         store.save([entry(4)])
     assert len(calls) == 1
     store.close()
@@ -118,7 +118,7 @@
         raise OSError(errno.ENOSPC, "No space left on device")
 
     monkeypatch.setattr(os, "write", full)
-    with pytest.raises(DiskFailed, match="No space left"):
+    with pytest.raises(DiskFailedError, match="No space left"):
         store.save([entry(4)])
     monkeypatch.undo()
     store.close()
@@ -161,13 +161,13 @@
 
 def test_nothing_is_made_where_something_is(folder):
     with pytest.raises(StoreError, match="is not empty"):
-        Store.make(folder, IDENTITY)
+        Store.create(folder, IDENTITY)
     assert len(opened(folder).entries) == 3
 
 
 def test_no_directory_and_no_known_form(tmp_path, folder):
     with pytest.raises(StoreError, match="controller found"):
         Store(tmp_path).open()
-    Store.make(tmp_path / "later", {**IDENTITY, "form": 9})
+    Store.create(tmp_path / "later", {**IDENTITY, "form": 9})
     with pytest.raises(StoreError, match="form 9"):
         Store(tmp_path / "later").open()
