--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -236,7 +236,7 @@
     """Faults that the budget must catch."""
     engine_host = daemon.engine_host
     if flaw == "syscall":
-        start = engine_host.world.start
+        start = engine_host.environment.start
 
         def twice(dispatch: Any, call: Any) -> Any:
             attempt = start(dispatch, call)
--- a/cartweir/audit/run.py
+++ b/cartweir/audit/run.py
@@ -26,7 +26,9 @@
 
 CATCH_UP = 100_000  # microseconds that a process has, after it was stopped, for what arrived meanwhile
 KINDS = ("agent", "clients", "field")
-PART_SHIFT = 18  # connections of several parts in one recording are numbered by part and life: cores/process.py
+PART_SHIFT = (
+    18  # connections of several parts in one recording are numbered by part and life: cores/process.py
+)
 LIVES_OF_PART = 256
 
 Fact = dict[str, Any]
--- a/cartweir/faults/rig.py
+++ b/cartweir/faults/rig.py
@@ -297,7 +297,7 @@
                 return True
         return False
 
-    async def ballots(
+    async def cast_votes(
         self, through: str, numbers: Iterable[int], build: int, stage: int, choice: int, serial: int = 0
     ) -> list[int]:
         """Of agents that are not there, told to one controller under serial + number until each is answered: the answers."""
--- a/cartweir/interface.py
+++ b/cartweir/interface.py
@@ -61,7 +61,7 @@
     deadline: int  # the client waits no longer than this
     customer: str = ""
     key: str | None = None
-    hint: int = 0  # rough work in microseconds; 0: not told
+    work_hint: int = 0  # rough work in microseconds; 0: not told
     retry: bool = False
     write: bool = False
     dispatches: list[Dispatch] = field(default_factory=list)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -154,7 +154,7 @@
         while "free" not in it.daemon.engine_host.appliance_list.appliances:
             await asyncio.sleep(0.005)
         clients[2].writer.write(ask("waits"))
-        while not any(pool.waiting for pool in it.daemon.appliance_pools.pools.values()):
+        while not any(pool.waiting for pool in it.daemon.links.pools.values()):
             await asyncio.sleep(0.005)
         held.go.set()
         assert (await clients[2].hear())[::2] == (200, b"made for waits")
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -500,7 +500,7 @@
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        assert not found - {"LinkStream"}  # of connections that nobody took, not of calls
+        assert not found - {"ReadOnReadyStream"}  # of connections that nobody took, not of calls
 
 
 @sockets
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -97,7 +97,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             super().__init__(loop, sock, owner)
 
-    monkeypatch.setattr(front, "Socket", Narrow)
+    monkeypatch.setattr(front, "NonBlockingSocket", Narrow)
 
 
 # ---- slow readers -------------------------------------------------------------------------------------------------
