--- a/cartweir/window.py
+++ b/cartweir/window.py
@@ -1,6 +1,6 @@
-"""A budget over a sliding window: so many sends for what was taken, in any span of time within it.
+"""A budget over a sliding window: in any span of time within it, a share of what was taken may be sent.
 
-No decision and no value of its own: who may send, at what cap, is decided in logic.py.
+It makes no decision and has no tuned value: who may send, at what cap, is decided in `cartweir.logic`.
 """
 
 from __future__ import annotations
@@ -9,38 +9,44 @@
 from math import inf
 
 EQUAL_WITHIN = 1e-6  # bounds that differ by no more are the same bound
-SPARE = 1e-9  # so much less is used than is allowed, since sums are rounded
+ROUNDING_MARGIN = 1e-9  # subtracted from what is allowed, because sums are rounded
 
 
 class WindowBudget:
     """Keeps the sends of every span of a window within free + cap x taken.
 
-    That includes spans that end between events. For the i-th send, count - i <= free + cap x (taken - taken
-    at it) has to hold; the tightest of these bounds is kept, and looked for anew only when it may have left.
+    This includes spans that end between events. For the i-th send, count - i <= free + cap x (taken - taken
+    at it) has to hold. The tightest of these bounds is kept, and searched for again only when it may have
+    left.
+
+    Attributes:
+        window: length in microseconds.
+        free: sends that are allowed although nothing was taken.
+        taken: number of invocations taken so far.
+        sends: for each send in the window, its time and `taken` at that time.
     """
 
     def __init__(self, window: int, free: float) -> None:
-        """`window` in microseconds; `free` sends need nothing taken."""
         self.window = window
         self.free = free
         self.taken = 0
-        self.sends: deque[list[int]] = deque()  # [when, taken up to then]
-        self._departed = 0  # sends that have left the window, since the bounds were counted anew
-        self._taken_before = 0  # from where `taken` counts in the bounds
-        self._tightest = -inf  # the most of cap x (taken at a send - _taken_before) - its number
-        self._cap: float | None = None  # the cap that _tightest is for; None: to be looked for anew
+        self.sends: deque[list[int]] = deque()
+        self._departed = 0  # sends that have left the window since the bounds were last recomputed
+        self._taken_before = 0  # value of `taken` from which the bounds count
+        self._tightest = -inf  # the largest value of cap x (taken at a send - _taken_before) - its number
+        self._cap: float | None = None  # the cap that _tightest is valid for; None: to be recomputed
 
     def take(self, now: int) -> None:
-        """One more is taken, which pays for sends."""
+        """Counts an invocation, which allows for further sends."""
         self.taken += 1
-        for send in reversed(self.sends):  # of one batch: which came first is not known outside
+        for send in reversed(self.sends):  # of events at one time, the order is not known to others
             if send[0] != now:
                 break
             send[1] = self.taken
             self._cap = None
 
     def add(self, now: int) -> list[int]:
-        """Counts a send; returns what `drop` takes it back by."""
+        """Counts a send; returns the entry by which `drop` takes it back."""
         send = [now, self.taken]
         self.sends.append(send)
         if self._cap is not None:
@@ -55,12 +61,12 @@
             self._cap = None
 
     def room(self, now: int, cap: float) -> bool:
-        """Whether one more send at this cap keeps every span within its bound."""
+        """Returns whether one more send at this cap keeps every span within its bound."""
         self._forget_before(now - self.window)
         if self._cap != cap:
-            self._count_anew(cap)
+            self._recompute(cap)
         count = self._departed + len(self.sends) + 1
-        allowed = self.free + cap * (self.taken - self._taken_before) - SPARE
+        allowed = self.free + cap * (self.taken - self._taken_before) - ROUNDING_MARGIN
         return cap > 0 and self.free >= 1 and count + self._tightest <= allowed
 
     def _forget_before(self, start: int) -> None:
@@ -73,7 +79,7 @@
             if bound >= self._tightest - EQUAL_WITHIN:
                 self._cap = None
 
-    def _count_anew(self, cap: float) -> None:
+    def _recompute(self, cap: float) -> None:
         self._cap = cap
         self._departed = 0
         self._taken_before = self.sends[0][1] if self.sends else self.taken
