--- /dev/null
+++ b/cartweir/logic/agent.py
@@ -0,0 +1,519 @@
+"""The decisions of one agent: takes what the host reports, and runs a generator for each invocation."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Mapping
+from functools import partial
+from typing import Any
+
+from ..interface import (
+    CANCELLED,
+    ERROR,
+    FINGERPRINTED,
+    FULL,
+    IDEMPOTENT,
+    NEVER_RAN,
+    OBSOLETE,
+    ON_TRIAL,
+    READY,
+    RESET,
+    SIDE_EFFECTING,
+    SUCCEEDED,
+    TIMEOUT,
+    UNCONNECTED,
+    ActionGenerator,
+    Appliance,
+    Cancel,
+    Dispatch,
+    Host,
+    Invocation,
+    Operation,
+    Outcome,
+    Probe,
+    Stage,
+    Tally,
+    Terminate,
+    Throttle,
+    Wait,
+)
+from ..state import FLAG_COUNTS, AgentState, ApplianceHealth, SharedCounts
+from .builds import exposure_cap, is_judged, runs_newest_build
+from .cold_start import warmth
+from .count_exchange import CountExchange
+from .evidence import Evidence
+from .exposure import make_budgets, within_limits
+from .health import close_if_silent, record_answer, record_outcome
+from .list_lease import ListLease
+from .overload import adjust_concurrency_limit, raise_limit_to_fleet
+from .selection import CHOICES, MOST_AVOIDED, load_score, preferred, to_probe
+from .subscription import ListSubscription
+from .timing import MILLISECOND, SECOND, STALL_TIME
+from .voting import Voting, draw_voter
+
+LOOK_INTERVAL = 500 * MILLISECOND  # between two looks at the evidence
+
+INITIAL_RETRY_BUDGET = 10.0
+MAX_RETRY_BUDGET = 20.0
+RETRIES_PER_INVOCATION = 0.2  # what an invocation adds to the budget
+SECOND_COPY_PRICE = 3.0  # what a second copy takes from the budget
+FAILED_RETRY_PRICE = 0.25  # the same for a retry after an error or without a connection
+RETRY_PRICE = 1.0  # for any other
+
+PROBE_MEMORY = 16  # one probe counts for one part in this many
+PROBE_ANSWER_TIME = 100 * MILLISECOND  # an appliance that has not answered a probe by then may stand still
+SAMPLE = 8  # random appliances that are looked at before the whole side is
+MAX_WOKEN = 4  # held invocations that are woken at a time
+
+MAX_TAKEN = 40  # invocations taken, at which the counts of them and of those that succeeded are halved
+COLD_PART = 0.55  # of the load at which a cold appliance falls over: what it gets at most
+COLD_MULTIPLE, COLD_MULTIPLE_IN_PLACE = (
+    2,
+    0.5,
+)  # of its even part, and less of it where builds change in place
+
+KEY_PART = 0.7  # of the cap: what one-way keys may bind
+MAX_TRIAL_DEFICIT = 2.0
+
+WINDOW_MARGIN = (
+    50 * MILLISECOND
+)  # before the end of an operation's window, in which repeats are no longer sent
+RETRY_MARGIN = 20 * MILLISECOND  # before the time from which on an answer is of no use
+MIN_TIMEOUT = MILLISECOND
+HOLD_STEP = 50 * MILLISECOND  # after which a held invocation is looked at again
+HOLD_PART = 6  # an invocation is held for one part in this many of its SLO time
+PROBE_PART = 15  # a probe is waited for as long as one part in this many of the SLO time
+SECOND_COPY_PART = 16  # a second copy that was not allowed is tried again after one part in this many
+SECOND_COPY_USE = 0.8  # of the bound on outstanding dispatches; above, no second copy is sent
+MAX_ERRORS = 1  # an invocation that has erred more often errs anywhere
+MAX_VALUE_FACTOR = 2.0  # in overload, up to this much more room is left for what is worth most
+MAX_ADVICE = SECOND  # the longest time after which a client is told to retry
+
+
+class Agent(AgentState):
+    """All decisions of one instance.
+
+    Attributes:
+        evidence: evidence on the newest build.
+        voting: votes on its stage.
+        count_exchange: counts that are exchanged with other agents.
+        list_lease: whether the list of appliances may be relied on.
+        list_subscription: the subscription to that list.
+    """
+
+    def __init__(self, host: Host, settings: Mapping[str, Any], rng: random.Random) -> None:
+        super().__init__(host, settings, rng, retry_budget=INITIAL_RETRY_BUDGET)
+        self._least_value = min((o.billed_value for o in settings["operations"]), default=1.0) or 1.0
+        self.cold_credit, self.trial_deficit = rng.random() - 1, rng.random()
+        self.evidence = Evidence(self)
+        self.voting = Voting(self, self.evidence)
+        self.count_exchange = CountExchange(self, self.evidence, self.voting)
+        self.list_lease = ListLease(settings["drain_grace"])
+        self.exposure_budgets = make_budgets(self)
+        self.list_subscription = ListSubscription(self)
+        if settings["must_ask"]:
+            self.list_subscription.start()
+
+    def restore(self, bound: dict[str, int], incomplete: bool, spent: bool) -> None:
+        """Restores what an earlier process left. The worst is assumed of what is not known.
+
+        Args:
+            bound: one-way keys, and the newest build that answered each.
+            incomplete: other keys may have been bound.
+            spent: the free sends of the exposure window count as used.
+        """
+        self.bound_keys, self.bound_keys_incomplete = dict(bound), incomplete and self.settings["one_way"]
+        for budget in {id(each): each for each in self.exposure_budgets.values()}.values():
+            for _ in range(int(budget.free) * spent):
+                budget.add(self.host.now)
+
+    def binds_key(self, appliance: Appliance) -> bool:
+        """Returns whether an answer of the appliance binds a one-way key."""
+        return bool(self.stage) and appliance.build >= self.stage.build + (self.stage.phase != ON_TRIAL)
+
+    # ---- the list of appliances ----
+    def on_list(self, status: str, changed: list[Appliance], waited: int | None = 0) -> None:
+        """Takes the result of a request for the list of appliances.
+
+        Args:
+            status: one of the constants in `interface`.
+            changed: the appliances that have changed.
+            waited: without an answer, how long one was waited for; None: for an unknown time, not by this
+                agent.
+        """
+        self.list_lease.update(status, self.host.now, waited)
+        if not self.list_subscription.update(status, waited):
+            return
+        changed_ids = {id(appliance) for appliance in changed}
+        unchanged = [a for a in self.fleet if id(a) not in changed_ids]
+        self.fleet = unchanged + [a for a in changed if a.state == READY]
+        for appliance in changed:
+            appliance.decision_state = appliance.decision_state or ApplianceHealth()
+        raise_limit_to_fleet(self)
+        self._regroup()
+        self.wake_held()
+
+    def _regroup(self) -> None:
+        """Sorts the ready appliances into groups.
+
+        The groups are kept, so that a dispatch costs the same in a fleet of any size.
+        """
+        self.lowest_build = min((a.build for a in self.fleet), default=0)
+        self.trial_appliances, self.earlier_appliances = [], []
+        self.cold_appliances = [a for a in self.fleet if warmth(self, a) < 1.0]
+        for appliance in self.fleet:
+            on_trial = exposure_cap(self, appliance) is not None
+            (self.trial_appliances if on_trial else self.earlier_appliances).append(appliance)
+        both = (
+            not self.earlier_appliances
+            or self.settings["in_place"]
+            or (self.stage and self.stage.phase != ON_TRIAL)
+        )
+        self.earlier_build_gone = self.stage is None or not any(
+            a.build < self.stage.build for a in self.earlier_appliances
+        )
+        self.usual_weight = sum(a.weight for a in (self.fleet if both else self.earlier_appliances)) or 1.0
+
+    # ---- the roll-out of the newest build ----
+    def on_stage(self, stage: Stage) -> None:
+        """Takes a message on the newest build, or the answer to a vote."""
+        old, settings = self.stage, self.settings
+        if stage.vote_answer not in (None, "ok"):  # the other fields of a refusal say nothing
+            if stage.vote_answer != OBSOLETE:
+                self.voting.recast(self.current_vote, stage.vote_answer == FULL)
+            return
+        self.stage = stage
+        self._regroup()
+        new_build = old is None or stage.build != old.build
+        self.bound_keys_incomplete = self.bound_keys_incomplete and (old is None or stage.build == old.build)
+        if new_build:
+            self.evidence.reset()
+            self.relayed = SharedCounts()
+        kept = stage.build + (stage.phase != ON_TRIAL)
+        self.bound_keys = {key: build for key, build in self.bound_keys.items() if build >= kept}
+        if old is None or stage.identity != old.identity:
+            self.current_vote, self.undecided_since = None, 0
+            self.stage_since = self.host.now - stage.age
+            bearing = self.fleet if settings["in_place"] else self.earlier_appliances
+            self.expected_trial_appliances = settings["shares"][stage.number] * len(bearing)
+            self.is_voter = draw_voter(self)
+            self._look_at_evidence(stage)
+            self.wake_held()
+
+    def _look_at_evidence(self, stage: Stage) -> None:
+        """Looks at the evidence, and again at intervals while the stage lasts."""
+        if self.stage.identity == stage.identity:
+            self.voting.review()
+            if is_judged(self) and self.settings["may_message"]:
+                self.count_exchange.send()
+            self.host.call_at(self.host.now + LOOK_INTERVAL, lambda: self._look_at_evidence(stage))
+
+    def on_tally(self, tally: Tally) -> None:
+        """Takes the platform's counts of a sample of answers."""
+        if is_judged(self) and tally.build < self.stage.build and tally.mean_time:
+            self.evidence.on_tally(tally)
+
+    def on_flag(self, operation: Operation, appliance: Appliance, age: int) -> None:
+        """Takes a report that an answer of the appliance was wrong."""
+        if is_judged(self):
+            self.evidence.add_pooled(FLAG_COUNTS, runs_newest_build(self, appliance), 1, 0)
+
+    def on_message(self, sender: int, figures: list[int]) -> None:
+        """Takes counts that another agent has sent."""
+        self.count_exchange.on_message(figures)
+
+    # ---- outcomes ----
+    def observe(self, outcome: Outcome) -> None:
+        """Takes the outcome of a dispatch, before the generator of its invocation does."""
+        dispatch, result = outcome.dispatch, outcome.result
+        self.open_dispatches -= 1
+        self.succeeded += result == SUCCEEDED
+        record_outcome(self, outcome)
+        key = dispatch.invocation.key if self.settings["one_way"] else None
+        if key:
+            self._record_key(key, outcome)
+        close_if_silent(self, dispatch, result)
+        self.evidence.observe(outcome)
+        if self.evidence.strongest().margin() > 0:
+            self.voting.review()
+        adjust_concurrency_limit(self, outcome)
+        self.wake_held()
+
+    def _record_key(self, key: str, outcome: Outcome) -> None:
+        """Records that a dispatch with a one-way key has ended."""
+        dispatch, appliance = outcome.dispatch, outcome.dispatch.appliance
+        (sent := self.keys_out[key, appliance.build]).remove(dispatch.sent)
+        if not sent:
+            del self.keys_out[key, appliance.build]
+        # guards against answers that were given but never read
+        unread = outcome.result in (RESET, TIMEOUT, CANCELLED)
+        if (outcome.result == SUCCEEDED or unread) and self.binds_key(appliance):
+            self.bound_keys[key] = appliance.build
+
+    def on_probe(self, appliance: Appliance, answered: bool, duration: int, load: Mapping | None) -> None:
+        """Takes the result of a probe. One without an answer closes nothing: it only makes probes rarer."""
+        self.probe_answer_share += (answered - self.probe_answer_share) / PROBE_MEMORY
+        if answered:
+            record_answer(self, appliance.decision_state, load, duration, probe=True)
+
+    # ---- which appliance ----
+    def warm_up(self) -> None:
+        """Counts an invocation taken, which earns dispatches to cold appliances.
+
+        Guards cold appliances against the sum of all agents: an invocation earns their even part of it, cut
+        to what is warm and to what succeeds. Whole dispatches come of it in time.
+        """
+        self.taken += 1
+        if self.taken > MAX_TAKEN:
+            self.taken, self.succeeded = MAX_TAKEN / 2, self.succeeded / 2
+        self.cold_credit_rate = 0.0
+        if self.cold_appliances:
+            self.cold_appliances = [
+                a for a in self.cold_appliances if a.state == READY and warmth(self, a) < 1.0
+            ]
+            part = sum(a.weight * warmth(self, a) for a in self.cold_appliances) / self.usual_weight
+            served = min(1.0, (self.succeeded + 2) / (self.taken + 2))
+            if self.cold_credit >= 0:
+                # Credit that is not spent at once lapses, or all agents would save up for a burst.
+                self.cold_credit = self.rng.random() - 1
+            most = min(
+                COLD_MULTIPLE - COLD_MULTIPLE_IN_PLACE * self.settings["in_place"],
+                self.settings["fall_multiple"] * COLD_PART,
+            )
+            self.cold_credit_rate = part * served * most
+            self.cold_credit += self.cold_credit_rate
+
+    def may_repeat(
+        self, invocation: Invocation, appliance: Appliance, leaving: Dispatch | None = None
+    ) -> bool:
+        """Returns whether the effect of the operation allows another dispatch to this appliance (rule 2).
+
+        Args:
+            invocation: what would be sent.
+            appliance: where it would go.
+            leaving: the dispatch that is about to be sent, which does not count as sent before.
+        """
+        operation = invocation.operation
+        # those sent before that may have run or still be outstanding
+        maybe = [d for d in invocation.dispatches if d.result not in NEVER_RAN and d is not leaving]
+        if not self.settings["may_duplicate"] and any(d.result is None for d in maybe):
+            return False
+        if not maybe or operation.effect == IDEMPOTENT:
+            return True
+        return operation.effect == FINGERPRINTED and all(
+            self.host.now < d.sent + operation.window - WINDOW_MARGIN
+            and {
+                "all": True,
+                "zone": appliance.zone == d.appliance.zone,
+                "cell": appliance.cell == d.appliance.cell,
+            }[operation.group]
+            for d in maybe
+        )
+
+    def may_go(self, invocation: Invocation, appliance: Appliance) -> bool:
+        """Returns whether the invocation may be sent to the appliance.
+
+        Every dispatch is checked for: drains, the circuit breaker, repeats, cold appliances, exposure and
+        keys.
+        """
+        health = appliance.decision_state
+        closed = health.closed_until > self.host.now or (health.closures and health.open_dispatches)
+        leaving = appliance.state != READY or not self.list_lease.holds(self.host.now)
+        if leaving or closed or (self.cold_credit < 0 and warmth(self, appliance) < 1.0):
+            return False
+        return self.may_repeat(invocation, appliance) and within_limits(self, invocation, appliance)
+
+    def _fits(self, invocation: Invocation, appliance: Appliance, tried: list[Appliance]) -> bool:
+        health = appliance.decision_state
+        # one that is silent to its latest probe, while most probes are answered, is seldom tried
+        silent = health.last_answer_at < health.last_probe_at < self.host.now - PROBE_ANSWER_TIME and (
+            self.rng.random() < min(MOST_AVOIDED, self.probe_answer_share)
+        )
+        return appliance not in tried and not silent and self.may_go(invocation, appliance)
+
+    def _draw(self, invocation: Invocation, side: list[Appliance], tried: list[Appliance]) -> list[Appliance]:
+        """Draws two random appliances of a side; looks at the whole side only if none of a sample fits."""
+        found: list[Appliance] = []
+        candidates = preferred(self, side)
+        for appliance in self.rng.sample(candidates, min(SAMPLE, len(candidates))):
+            if len(found) < CHOICES and self._fits(invocation, appliance, tried):
+                found.append(appliance)
+        if not found and (found := [a for a in side if self._fits(invocation, a, tried)]):
+            found = self.rng.sample(found, min(CHOICES, len(found)))
+        return found
+
+    def pick(self, invocation: Invocation) -> list[Appliance]:
+        """Picks the appliances of which one gets the next dispatch.
+
+        The trial gets its appliances' part, to be judged at full load before its release. Repeats go to the
+        earlier build, unless the key must stay.
+        """
+        tried = [d.appliance for d in invocation.dispatches]
+        sides = [self.earlier_appliances, self.trial_appliances]
+        on_trial = self.stage and self.stage.phase == ON_TRIAL  # also after an own vote: evidence grows
+        part = sum(a.weight for a in self.trial_appliances if warmth(self, a) >= 1.0) / self.usual_weight
+        if on_trial and self.settings["one_way"]:  # the cap holds in any short span, and keys come in bursts
+            part = min(part, KEY_PART * self.stage.cap)
+        # A key that the trial answers binds all invocations that follow with it, which must fit the trial's
+        # part.
+        bound = invocation.key in self.bound_keys
+        bound_share = sum(map(self.bound_keys.__contains__, self.recent_keys)) / (len(self.recent_keys) + 1)
+        if not tried and self.cold_appliances and self.cold_credit >= 0:
+            room = on_trial and (
+                bound or bound_share < min(part + self.cold_credit_rate / 2, KEY_PART * self.stage.cap)
+            )
+            sides.insert(0, [a for a in self.cold_appliances if room or exposure_cap(self, a) is None])
+        elif not tried and on_trial and (bound or self.trial_deficit >= 1):
+            sides.reverse()
+        choices = (
+            self._draw(invocation, side, skip) for skip in ((tried, []) if tried else ([],)) for side in sides
+        )
+        found = next(filter(None, choices), [])
+        if found and on_trial and not tried and not bound:
+            # counted, not drawn: of two dispatches drawn in a row one has no room under the cap
+            used = self.trial_deficit >= 1 and exposure_cap(self, found[0]) is not None
+            earned = max(0.0, part - bound_share) / (1 - bound_share)
+            self.trial_deficit = min(self.trial_deficit + earned, MAX_TRIAL_DEFICIT) - used
+        return found
+
+    # ---- invocations: hold, dispatch, final answer ----
+    def wake_held(self) -> None:
+        """Wakes held invocations that may now be dispatched: the highest value first, then the oldest."""
+        room = max(0, min(int(self.concurrency_limit - self.open_dispatches + 1), MAX_WOKEN))
+        for invocation in sorted(self.held, key=lambda i: (-i.operation.billed_value, i.arrived_at))[:room]:
+            self.host.wake(invocation)
+
+    def handle(self, invocation: Invocation) -> ActionGenerator:
+        """Yields the actions for an invocation until it has its final answer."""
+        operation, settings, host = invocation.operation, self.settings, self.host
+        self.warm_up()
+        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_INVOCATION)
+        self.exposure_budgets[operation].take(host.now)
+        if settings["one_way"] and invocation.key:
+            self.recent_keys.append(invocation.key)
+        end = invocation.deadline - 2 * settings["tick"]  # rule 1: the last moment for our answer
+        useful = end if operation.late_value > 0 else min(end, invocation.arrived_at + operation.slo_time)
+        # in overload, what is worth most goes first
+        value_factor = min(MAX_VALUE_FACTOR, operation.billed_value / self._least_value)
+        part = self.rng.random()  # chance stands for what is less than one dispatch
+        while True:
+            # 1. Pick appliances, or hold; how long the oldest one has been held shows an overload.
+            held_until, pair = min(useful, host.now + operation.slo_time // HOLD_PART), []
+            while not invocation.concluded:
+                room = self.open_dispatches + part < self.concurrency_limit * value_factor
+                if room or host.lag > STALL_TIME:  # a stall of this process held these up
+                    pair = self.pick(invocation)
+                if pair or host.now >= held_until:
+                    break
+                self.held.append(invocation)
+                yield Wait(min(held_until, host.now + HOLD_STEP))
+                self.held.remove(invocation)
+            if pair and (asked := to_probe(self, pair)) and not invocation.concluded:
+                for appliance in asked:
+                    appliance.decision_state.last_probe_at = host.now
+                yield Probe(asked, min(useful, host.now + operation.slo_time // PROBE_PART))
+                if not invocation.concluded and not (pair := [a for a in pair if self.may_go(invocation, a)]):
+                    continue
+            if not pair or invocation.concluded:
+                break
+            # 2. Dispatch, and send a second copy where one is allowed and few are held.
+            timeout, second_at = end - host.now, end
+            if operation.effect != SIDE_EFFECTING:
+                if settings["may_duplicate"]:
+                    second_at = host.now + (useful - host.now) // 2
+                elif not settings["may_duplicate"] and not invocation.dispatches:
+                    timeout = (useful - host.now) * 9 // 10
+            chosen = min(pair, key=partial(load_score, self))
+            yield self._send(invocation, chosen, timeout, second_at)
+            while not invocation.concluded and (
+                invocation.streaming
+                or (host.now < end and any(d.result is None for d in invocation.dispatches))
+            ):
+                if host.now < second_at or invocation.streaming:
+                    yield Wait(second_at if host.now < second_at else None)
+                    continue
+                if self.held or self.open_dispatches >= SECOND_COPY_USE * self.concurrency_limit:
+                    # not now, perhaps a little later
+                    later = host.now + operation.slo_time // SECOND_COPY_PART
+                    second_at = later if host.now < useful else end
+                    continue
+                second_at, tried = end, [d.appliance for d in invocation.dispatches]
+                chosen = min(self.pick(invocation), key=partial(load_score, self), default=None)
+                if chosen and chosen not in tried and self.may_retry(invocation, SECOND_COPY_PRICE):
+                    yield self._send(invocation, chosen, end - host.now, end)
+            # 3. Retry, if that is of use.
+            results = [d.result for d in invocation.dispatches]
+            price = FAILED_RETRY_PRICE if results[-1] in (ERROR, UNCONNECTED) else RETRY_PRICE
+            if (
+                invocation.concluded
+                or host.now >= useful - RETRY_MARGIN
+                or results.count(ERROR) > MAX_ERRORS
+                or not self.may_retry(invocation, price)
+                or not any(self.may_repeat(invocation, a) for a in self.fleet)
+            ):
+                break
+        if not invocation.concluded:
+            yield self.give_up(invocation)
+        for dispatch in invocation.dispatches:
+            if dispatch.result is None and settings["may_cancel"]:
+                yield Cancel(dispatch)
+
+    def may_retry(self, invocation: Invocation, price: float) -> bool:
+        """Returns whether one more dispatch is within the retry budget, and takes it from the budget.
+
+        Guards against retry storms: further dispatches are a small part of the invocations taken.
+        """
+        allowed = len(invocation.dispatches) < self.settings["dispatch_limit"] and self.retry_budget >= price
+        if allowed:
+            self.retry_budget -= price
+        return allowed
+
+    def _send(self, invocation: Invocation, appliance: Appliance, timeout: int, until: int) -> Dispatch:
+        """Returns the dispatch to yield, and counts it."""
+        health, budget = appliance.decision_state, self.exposure_budgets[invocation.operation]
+        self.open_dispatches += 1
+        health.open_dispatches += 1
+        health.load += 1
+        self.cold_credit -= warmth(self, appliance) < 1.0
+        dispatch = Dispatch(appliance, max(timeout, MIN_TIMEOUT), until)
+        if exposure_cap(self, appliance) is not None:
+            dispatch.decision_state = budget.add(self.host.now)
+        if self.settings["one_way"] and invocation.key:
+            self.keys_out.setdefault((invocation.key, appliance.build), []).append(self.host.now)
+        return dispatch
+
+    def may_send(self, dispatch: Dispatch) -> bool:
+        """Returns whether a dispatch that waited for its connection may still be sent.
+
+        It then counts from now.
+
+        Guards against a build on trial getting in one burst what was allowed one by one, and against a repeat
+        that is sent once its window is over.
+        """
+        invocation, appliance = dispatch.invocation, dispatch.appliance
+        budget = self.exposure_budgets[invocation.operation]
+        budget.drop(dispatch.decision_state)
+        ready = appliance.state == READY and self.list_lease.holds(self.host.now)
+        allowed = (
+            not invocation.concluded
+            and not invocation.streaming
+            and ready
+            and (
+                self.may_repeat(invocation, appliance, dispatch)
+                and within_limits(self, invocation, appliance)
+            )
+        )
+        if allowed and exposure_cap(self, appliance) is not None:
+            dispatch.decision_state = budget.add(self.host.now)
+        return allowed
+
+    def give_up(self, invocation: Invocation) -> Throttle | Terminate:
+        """Returns the final answer: throttled where nothing ran, or where a repeat does no harm anywhere."""
+        effect, everywhere = invocation.operation.effect, invocation.operation.group == "all"
+        harmless = (
+            effect == IDEMPOTENT
+            or (effect == FINGERPRINTED and everywhere)
+            or all(d.result in NEVER_RAN for d in invocation.dispatches)
+        )
+        advice = min(self.settings["max_advice"], MAX_ADVICE) * self.settings["may_advise"]
+        return Throttle(advice) if harmless else Terminate()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -594,7 +594,7 @@
     scene.agent.evidence.add_pooled(0, False, 0, 60)
     scene.agent.evidence.add_pooled(0, True, 0, 3)
     scene.agent.on_flag(scene.draw, scene.fleet["new0"], S)
-    scene.agent.review()
+    scene.agent.voting.review()
     scene.traffic(8 * S)
     votes = [line for line in scene.lines if "vote back on" in line]
     assert votes and float(votes[-1].split()[0]) < 6 and (scene.agent.current_vote or ("on",))[-1] != "back"
--- a/tests/test_list_trust.py
+++ b/tests/test_list_trust.py
@@ -12,12 +12,14 @@
 from test_calls import sockets
 
 from cartweir import interface as ours
-from cartweir import logic
 from cartweir.hosting.engine_host import EngineHost
+from cartweir.logic import list_lease
 from cartweir.node import daemon, discovery
 
 GRACE = S  # drain_grace of a Scene
-TRUSTED = logic.ANNOUNCED_WITHIN + GRACE  # how long a list may be relied on after the last word of discovery
+TRUSTED = (
+    list_lease.ANNOUNCED_WITHIN + GRACE
+)  # how long a list may be relied on after the last word of discovery
 
 
 class Overloaded(Discovery):
@@ -41,7 +43,7 @@
     """A node that is moved to an overloaded discovery, and whose list may be relied on for 0.3 s without a
     word of it.
     """
-    monkeypatch.setattr(logic, "ANNOUNCED_WITHIN", 200 * MS)
+    monkeypatch.setattr(list_lease, "ANNOUNCED_WITHIN", 200 * MS)
     async with ground(Appliance(), drain_grace=200.0) as it:
         await it.noted("list")
         server = await Overloaded(it.discovery.endpoints).start()
@@ -94,9 +96,9 @@
 def test_nothing_is_sent_once_a_drain_may_have_been_told_for_longer_than_the_grace():
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=2 * S)
-    scene.pass_to(8 * S + TRUSTED - logic.LEASE_MARGIN - MS)
+    scene.pass_to(8 * S + TRUSTED - list_lease.LEASE_MARGIN - MS)
     assert dispatched(scene)
-    scene.pass_to(8 * S + TRUSTED - logic.LEASE_MARGIN)
+    scene.pass_to(8 * S + TRUSTED - list_lease.LEASE_MARGIN)
     assert not dispatched(scene)
 
 
@@ -135,7 +137,7 @@
     """Whatever was announced while it was down may count as told from its first moment."""
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=None)
-    scene.pass_to(10 * S + GRACE - logic.LEASE_MARGIN - MS)
+    scene.pass_to(10 * S + GRACE - list_lease.LEASE_MARGIN - MS)
     assert dispatched(scene)
     scene.pass_to(10 * S + GRACE)
     assert not dispatched(scene)
@@ -166,9 +168,9 @@
 def test_discovery_that_has_not_answered_for_longer_than_any_queue_is_presumed_away():
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=0)
-    scene.pass_to(10 * S + logic.PRESUMED_DOWN_AFTER - MS)
+    scene.pass_to(10 * S + list_lease.PRESUMED_DOWN_AFTER - MS)
     assert not dispatched(scene)
-    scene.pass_to(10 * S + logic.PRESUMED_DOWN_AFTER)
+    scene.pass_to(10 * S + list_lease.PRESUMED_DOWN_AFTER)
     assert dispatched(scene)
 
 
@@ -205,7 +207,7 @@
     for _ in range(3):
         scene.pass_to(scene.engine.now + 2 * S)
         scene.agent.on_list(ours.UNANSWERED, [], waited=2 * S)
-    expiry = 10 * S + logic.RESTART_TIME + TRUSTED - logic.LEASE_MARGIN
+    expiry = 10 * S + list_lease.RESTART_TIME + TRUSTED - list_lease.LEASE_MARGIN
     scene.pass_to(expiry - MS)
     assert dispatched(scene)
     scene.pass_to(expiry)
@@ -217,7 +219,7 @@
     scene.agent.on_list(ours.UNANSWERED, [], waited=0)
     scene.pass_to(10 * S + TRUSTED - S)
     scene.agent.on_list(ours.UNREACHABLE, [])
-    scene.pass_to(scene.engine.now + TRUSTED - logic.LEASE_MARGIN - MS)
+    scene.pass_to(scene.engine.now + TRUSTED - list_lease.LEASE_MARGIN - MS)
     assert dispatched(scene)
     scene.pass_to(scene.engine.now + MS)
     assert not dispatched(scene)
