--- a/cartweir/drill/__init__.py
+++ b/cartweir/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: one process that plays many instances on the line wire of the bench."""
+"""The simulator's adapter: one process that runs many agents, driven by a line protocol."""
--- a/cartweir/drill/__main__.py
+++ b/cartweir/drill/__main__.py
@@ -1,4 +1,4 @@
-"""python -m cartweir.drill: read the wire on standard input, reply on standard output."""
+"""`python -m cartweir.drill`: reads the line protocol on standard input, replies on standard output."""
 
 import gc
 import io
@@ -9,6 +9,7 @@
 
 
 def main() -> int:
+    """Serves standard input until its end; returns the exit code."""
     gc.freeze()
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     sink = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n")
--- a/cartweir/drill/wire.py
+++ b/cartweir/drill/wire.py
@@ -1,4 +1,4 @@
-"""The line codec of wire protocol pine-6f8d: text lines to plain values and back. Knows no meaning."""
+"""The line codec of protocol pine-6f8d: text lines to plain values and back, without their meaning."""
 
 from __future__ import annotations
 
@@ -6,11 +6,27 @@
 import binascii
 import json
 from collections.abc import Callable, Iterator
-from typing import Any, TextIO
+from typing import Any, NamedTuple, TextIO
+
+SHOWN_CHARACTERS = 40  # of unexpected input, in errors
 
 
 class WireError(Exception):
-    """Input that does not follow the wire; the text names line and reason."""
+    """Input that does not follow the protocol; the text names the line and the reason."""
+
+
+class Message(NamedTuple):
+    """A line of input.
+
+    Attributes:
+        line: its number, from 1.
+        name: the name of the message.
+        members: the values of its members; members that are absent are left out.
+    """
+
+    line: int
+    name: str
+    members: dict[str, Any]
 
 
 def _bool(text: str) -> bool:
@@ -20,6 +36,7 @@
 
 
 def microseconds(value: str | float) -> int:
+    """Returns a time that is given in milliseconds."""
     return round(float(value) * 1000)
 
 
@@ -43,7 +60,7 @@
 
 
 _AGENT = {"agent": str}
-# Message -> (required members, optional members), each with the reader of its value.
+# for each message its required and its optional members, each with the function that reads its value
 MESSAGES: dict[str, tuple[dict[str, Callable], dict[str, Callable]]] = {
     "TURN": ({"clock": microseconds}, {}),
     "SPAWN": ({**_AGENT, "rngSeed": int, "params": _settings}, {}),
@@ -86,28 +103,25 @@
     "SAMPLED": ({**_AGENT, "appliance": str, "verdict": int}, {"rtt": microseconds, "usage": _load}),
     "OVER_TO_YOU": ({}, {}),
 }
-_TAILS = {"SPAWN": "params"}  # a member that may hold tabs, as it runs to the end of the line
+_LAST_MEMBERS = {"SPAWN": "params"}  # a member that may hold tabs, because it runs to the end of the line
+
 
+def decode(line: str, number: int) -> Message:
+    """Reads a line.
 
-def decode(line: str, number: int) -> tuple[str, dict[str, Any]]:
-    """One line to its message name and its members; members that are absent are left out."""
+    Args:
+        line: without its end.
+        number: of the line, for errors.
+
+    Raises:
+        WireError: the message is unknown, or a member is malformed or missing.
+    """
     name, _, rest = line.partition("\t")
     if name not in MESSAGES:
-        raise WireError(f"line {number}: unknown message {name[:40]!r}")
+        raise WireError(f"line {number}: unknown message {name[:SHOWN_CHARACTERS]!r}")
     required, optional = MESSAGES[name]
-    texts: dict[str, str] = {}
-    tail = _TAILS.get(name)
-    while rest:
-        if tail and rest.startswith(tail + "="):
-            part, rest = rest, ""
-        else:
-            part, _, rest = rest.partition("\t")
-        member, equals, text = part.partition("=")
-        if not equals:
-            raise WireError(f"line {number}: {name}: {part[:40]!r} is no name=value pair")
-        texts[member] = text
     values: dict[str, Any] = {}
-    for member, text in texts.items():
+    for member, text in _members(name, rest, number).items():
         read = required.get(member) or optional.get(member)
         if read is None:
             continue
@@ -118,34 +132,59 @@
     for member in required:
         if member not in values:
             raise WireError(f"line {number}: {name}: {member} is missing")
-    return name, values
+    return Message(number, name, values)
+
+
+def _members(name: str, rest: str, number: int) -> dict[str, str]:
+    """Splits what follows the name of a message into members and their texts."""
+    texts: dict[str, str] = {}
+    last = _LAST_MEMBERS.get(name)
+    while rest:
+        if last and rest.startswith(last + "="):
+            part, rest = rest, ""
+        else:
+            part, _, rest = rest.partition("\t")
+        member, equals, text = part.partition("=")
+        if not equals:
+            raise WireError(f"line {number}: {name}: {part[:SHOWN_CHARACTERS]!r} is no name=value pair")
+        texts[member] = text
+    return texts
 
 
 def encode(name: str, **members: Any) -> str:
-    """One action line; members that are None are left out."""
+    """Returns the line of an action; members that are None are left out."""
     parts = [name]
     for member, value in members.items():
-        if value is None:
-            continue
-        if isinstance(value, bool):
-            value = int(value)
-        elif isinstance(value, bytes):
-            value = base64.b64encode(value).decode() or "-"
-        parts.append(f"{member}={value}")
+        if value is not None:
+            parts.append(f"{member}={_encode_value(value)}")
     return "\t".join(parts)
 
 
+def _encode_value(value: Any) -> Any:
+    if isinstance(value, bool):
+        return int(value)
+    if isinstance(value, bytes):
+        return base64.b64encode(value).decode() or "-"
+    return value
+
+
 def one_line(text: str) -> str:
+    """Returns the text with single blanks in place of line ends and tabs."""
     return " ".join(text.split())
 
 
 def milliseconds(time: int) -> str:
+    """Returns a time in microseconds as text in milliseconds, with decimals only where needed."""
     whole, part = divmod(time, 1000)
     return f"{whole}.{part:03d}" if part else str(whole)
 
 
-def messages(source: TextIO) -> Iterator[tuple[int, str, dict[str, Any]]]:
-    """The messages on a stream with their line numbers; blank lines between batches are skipped."""
+def messages(source: TextIO) -> Iterator[Message]:
+    """Yields the messages of a stream; blank lines between batches are skipped.
+
+    Raises:
+        WireError: a line does not follow the protocol.
+    """
     number = 0
     while True:
         try:
@@ -157,4 +196,4 @@
         number += 1
         line = line.rstrip("\r\n")
         if line:
-            yield (number, *decode(line, number))
+            yield decode(line, number)
