--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A scene: one instance with a printed trace of what it does, compared with the kept one."""
+"""A scene: one agent without sockets, and a printed trace of its actions to compare with the kept one."""
 
 from __future__ import annotations
 
@@ -24,47 +24,58 @@
 
 MS, S = 1_000, 1_000_000
 TRACES = Path(__file__).parent / "traces"
-SETTINGS = dict(
-    agents=1,
-    me=0,
-    zone="a",
-    tick=5 * MS,
-    may_cancel=True,
-    may_probe=True,
-    may_message=False,
-    may_duplicate=False,
-    may_advise=True,
-    max_advice=500 * MS,
-    dispatch_limit=4,
-    cold_share=0.4,
-    warm_time=5 * S,
-    fall_multiple=4.0,
-    fall_time=S,
-    drain_grace=S,
-    idle_time=30 * S,
-    control="any",
-    per_operation=False,
-    in_place=False,
-    window=4 * S,
-    free=1.0,
-    caps=(0.1, 0.4, 1.0),
-    shares=(0.1, 0.35, 1.0),
-    guarded_stages=0,
-    one_way=False,
-    on_votes=1,
-    back_votes=1,
-    vote_life=6 * S,
-    vote_allowance=100.0,
-    flag_share=0.0,
-    tally_time=2 * S,
-    must_ask=False,
-    probe_price=0.0,
-    connect_price=0.0,
-)
+SETTINGS = {
+    "agents": 1,
+    "me": 0,
+    "zone": "a",
+    "tick": 5 * MS,
+    "may_cancel": True,
+    "may_probe": True,
+    "may_message": False,
+    "may_duplicate": False,
+    "may_advise": True,
+    "max_advice": 500 * MS,
+    "dispatch_limit": 4,
+    "cold_share": 0.4,
+    "warm_time": 5 * S,
+    "fall_multiple": 4.0,
+    "fall_time": S,
+    "drain_grace": S,
+    "idle_time": 30 * S,
+    "control": "any",
+    "per_operation": False,
+    "in_place": False,
+    "window": 4 * S,
+    "free": 1.0,
+    "caps": (0.1, 0.4, 1.0),
+    "shares": (0.1, 0.35, 1.0),
+    "guarded_stages": 0,
+    "one_way": False,
+    "on_votes": 1,
+    "back_votes": 1,
+    "vote_life": 6 * S,
+    "vote_allowance": 100.0,
+    "flag_share": 0.0,
+    "tally_time": 2 * S,
+    "must_ask": False,
+    "probe_price": 0.0,
+    "connect_price": 0.0,
+}
 
 
 class Scene:
-    """Plays the host's world; being the door too, it writes each action down."""
+    """Plays the outside world of one agent, and writes each of its actions down.
+
+    Attributes:
+        lines: the trace.
+        out: the dispatches that are outstanding.
+        draw: an idempotent operation.
+        order: a fingerprinted operation.
+        issue: a side-effecting operation.
+        fleet: all appliances by name.
+        quiet: leaves dispatches and final answers out of the trace.
+        silent: names of appliances that answer no probe.
+    """
 
     def __init__(self, seed: int = 1, **settings) -> None:
         self.lines: list[str] = []
@@ -78,7 +89,7 @@
         )
         self.agent, self.fleet, self.count = self.engine.agent, {}, 0
 
-    # ---- the door ----
+    # ---- actions of the decisions ----
     def say(self, text: str) -> None:
         now = self.engine.now if self.engine else 0
         self.lines.append(f"{now / S:8.3f}  {text}")
@@ -125,8 +136,9 @@
     def message(self, to: int | None, figures: list[int]) -> None:
         self.say(f"message {figures}")
 
-    # ---- the world ----
+    # ---- what happens outside ----
     def pass_to(self, time: int) -> None:
+        """Advances the clock, and runs the timers on the way."""
         while self.engine._timers and self.engine._timers[0][0] <= time:
             self.engine.advance_to(max(self.engine.now, self.engine._timers[0][0]))
             self.engine._next_alarm = self.engine.now
@@ -137,6 +149,7 @@
     def list(
         self, *names: str, build: int = 1, started: int = 0, state: str = "ready", zone: str = "a"
     ) -> None:
+        """Lists appliances, or changes the state of listed ones."""
         for name in names:
             self.fleet.setdefault(name, Appliance(name, build, zone, started=started)).state = state
         self.agent.on_list("changes", [self.fleet[name] for name in names])
@@ -149,35 +162,44 @@
         self.engine.resume_woken()
 
     def released(self) -> None:
+        """Tells that build 1 is released."""
         self.stage(1, 2, 1.0, RELEASED)
 
     def take(self, operation: Operation, left: int = 3 * S, key: str | None = None) -> Invocation:
+        """Sends a client's request; `left` is for how long the client waits."""
         self.count += 1
         invocation = Invocation(self.count, operation, self.engine.now, self.engine.now + left, key=key)
         self.engine.accept(invocation)
         self.engine.resume_woken()
         return invocation
 
-    def end(self, dispatch: Dispatch, how: str = SUCCEEDED) -> None:
+    def end(self, dispatch: Dispatch, result: str = SUCCEEDED) -> None:
+        """Ends a dispatch."""
         self.out.remove(dispatch)
-        took = self.engine.now - dispatch.sent
-        self.engine.dispatch_ended(
-            Outcome(dispatch, how, took, how == SUCCEEDED or dispatch.invocation.concluded)
-        )
+        duration = self.engine.now - dispatch.sent
+        complete = result == SUCCEEDED or dispatch.invocation.concluded
+        self.engine.dispatch_ended(Outcome(dispatch, result, duration, complete))
         self.engine.resume_woken()
 
-    def traffic(self, until: int, how=lambda dispatch: SUCCEEDED, every: int = 20 * MS) -> None:
-        """One invocation after another, each answered after 50 ms; only what is not routine is printed."""
+    def traffic(self, until: int, result=lambda dispatch: SUCCEEDED, every: int = 20 * MS) -> None:
+        """Sends requests at intervals and answers each after 50 ms; dispatches are not printed.
+
+        Args:
+            until: when it ends.
+            result: returns the result of a dispatch.
+            every: the interval.
+        """
         self.quiet, number = True, 0
         while self.engine.now < until:
             self.pass_to(self.engine.now + every)
             self.take((self.draw, self.draw, self.order)[number % 3])
             number += 1
             for dispatch in [d for d in self.out if d.sent <= self.engine.now - 50 * MS]:
-                self.end(dispatch, how(dispatch))
+                self.end(dispatch, result(dispatch))
         self.quiet = False
 
     def matches(self, name: str) -> None:
+        """Compares the trace with the kept one; with TRACE=write in the environment it is kept first."""
         path, text = TRACES / f"{name}.txt", "\n".join(self.lines) + "\n"
         if os.environ.get("TRACE") == "write":
             path.write_text(text)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,5 +1,9 @@
-"""Short printed traces of decisions; each is kept in traces/ and read by people."""
+"""Decisions of one agent in played scenes.
 
+Several print a short trace, which is compared with the one kept in `traces/` for people to read.
+"""
+
+import itertools
 import random
 
 import pytest
@@ -21,13 +25,13 @@
     return scene
 
 
-def test_bad_build_is_sent_back():
+def test_a_bad_build_is_voted_back():
     scene = on_trial()
     scene.traffic(8 * S, lambda d: ERROR if d.appliance.build == 2 and d.invocation.id % 2 else "succeeded")
     scene.matches("bad_build")
 
 
-def test_good_build_is_voted_on():
+def test_a_good_build_is_voted_on():
     scene = on_trial()
     scene.traffic(8 * S)
     scene.matches("good_build")
@@ -42,7 +46,7 @@
     assert not scene.agent.evidence.streams
 
 
-def test_a_released_build_is_judged_by_the_last_earlier_side():
+def test_a_released_build_is_compared_with_the_last_outcomes_of_the_earlier_build():
     scene = on_trial()
     scene.traffic(6 * S)
     scene.stage(2, 2, 1.0, "released")
@@ -51,8 +55,11 @@
     scene.matches("released_bad_build")
 
 
-def test_errors_that_no_repeat_tells_do_not_convict_a_released_build():
-    """Worthless invocations err anywhere; side-effecting ones are not repeated, and the earlier side is of before them."""
+def test_errors_that_are_not_repeated_are_no_evidence_against_a_released_build():
+    """Guards against requests that fail at every appliance being held against a released build.
+
+    Side-effecting invocations are not repeated, and the outcomes of the earlier build are older than these.
+    """
     scene, errs = on_trial(), []
     scene.quiet = True
     while scene.engine.now < 20 * S:
@@ -69,14 +76,14 @@
     )
 
 
-def test_failing_machine_is_shut_and_its_build_stays():
+def test_one_failing_appliance_is_no_evidence_against_its_build():
     scene = on_trial()
     scene.traffic(7 * S, lambda d: ERROR if d.appliance.id == "new0" else "succeeded")
     scene.matches("failing_machine")
 
 
-def test_exposure_in_every_span():
-    """Spans that begin at any dispatch, also after the invocations that paid for earlier ones have left."""
+def test_exposure_stays_within_the_cap_in_every_span_of_the_window():
+    """Spans begin at any dispatch, also after the invocations that allowed it have left the window."""
     scene = on_trial(free=2.0)
     scene.traffic(9 * S)
     scene.pass_to(14 * S)
@@ -90,14 +97,14 @@
         assert len(span) <= 2 + 0.2 * len(paid) + 1e-6
 
 
-def test_requests_that_fail_anywhere_are_no_evidence():
-    """Guards against extra invocations that err at any machine being taken for a bad build."""
+def test_requests_that_fail_at_every_appliance_are_no_evidence():
+    """Guards against invocations that fail at any appliance being taken for a bad build."""
     scene = on_trial()
     scene.traffic(9 * S, lambda d: ERROR if d.invocation.id % 3 == 0 else "succeeded")
     assert not any("back" in line for line in scene.lines)
 
 
-def test_cap_zero_and_unannounced_builds():
+def test_a_cap_of_zero_admits_nothing_and_an_unannounced_build_gets_its_first_cap():
     scene = Scene()
     scene.list("old0")
     scene.released()
@@ -113,7 +120,7 @@
     assert scene.out == []
 
 
-def test_one_way_keys_stay_or_are_throttled():
+def test_one_way_keys_stay_at_the_newer_build_or_are_throttled():
     scene = Scene(one_way=True)
     scene.list("old0")
     scene.stage(2, 0, 0.1)
@@ -129,8 +136,8 @@
     scene.matches("one_way_keys")
 
 
-def test_no_key_goes_to_an_earlier_machine_that_is_listed_after_the_release():
-    """Guards against a machine that vanished and comes back with the earlier build."""
+def test_no_key_goes_to_an_earlier_build_that_is_listed_after_the_release():
+    """Guards against an appliance that vanished and comes back with the earlier build."""
     scene = Scene(one_way=True)
     scene.list("new0", build=2)
     scene.stage(2, 2, 1.0, "released")
@@ -142,16 +149,16 @@
 
 
 @pytest.mark.parametrize(
-    "how,bound", [(RESET, True), (TIMEOUT, True), (CANCELLED, True), (ERROR, False), (FULL, False)]
+    "result,bound", [(RESET, True), (TIMEOUT, True), (CANCELLED, True), (ERROR, False), (FULL, False)]
 )
-def test_an_answer_that_was_given_and_not_read_binds_its_key(how, bound):
-    """Guards against spoilt or lost answers: the newer build may have answered the key all the same."""
+def test_a_dispatch_that_may_have_been_answered_unread_binds_its_key(result, bound):
+    """Guards against damaged or lost answers: the newer build may have answered the key all the same."""
     scene = Scene(one_way=True, free=2.0)
     scene.list("new0", build=2)
     scene.stage(2, 0, 1.0)
     invocation = scene.take(scene.issue, key="k")
     scene.pass_to(50 * MS)
-    scene.end(scene.out[0], how)
+    scene.end(scene.out[0], result)
     scene.engine.client_left(invocation)
     scene.list("old0")
     scene.list("new0", build=2, state=DRAINING)
@@ -161,8 +168,8 @@
     assert [d.invocation.key for d in scene.out] == (["other"] if bound else ["k", "other"])
 
 
-def test_a_key_that_is_out_at_the_newer_build_goes_to_no_earlier_one():
-    """Guards against a machine that was cut off: it may have answered long before its silence is noticed."""
+def test_a_key_outstanding_at_the_newer_build_is_not_sent_to_an_earlier_one():
+    """Guards against an appliance that was cut off: it may have answered before its silence is noticed."""
     scene = Scene(one_way=True, free=2.0)
     scene.list("new0", build=2)
     scene.stage(2, 0, 1.0)
@@ -173,12 +180,12 @@
     scene.take(scene.draw, key="k")
     scene.take(scene.draw, key="other")
     assert [d.invocation.key for d in scene.out] == ["k", "other"]
-    scene.end(scene.out[0], ERROR)  # now it is known that it was not answered there
+    scene.end(scene.out[0], ERROR)  # this shows that it was not answered there
     assert [d.invocation.key for d in scene.out] == ["other", "k", "k"] and not scene.agent.bound_keys
 
 
-def test_keys_that_the_trial_binds_fit_its_part():
-    """Guards against keys that come often: each that the trial has answered must go there again, within the cap."""
+def test_keys_bound_by_the_trial_fit_within_its_cap():
+    """Guards against frequent keys: each that the trial has answered must go there again, within the cap."""
     throttled = at_trial = asked = 0
     for seed in range(12):
         scene, chance, taken = Scene(seed + 1, one_way=True), random.Random(seed), []
@@ -200,9 +207,12 @@
     assert throttled < 0.08 * asked and 0.2 * asked < at_trial < 0.4 * asked
 
 
-def test_an_agent_that_asks_little_gives_the_trial_its_part():
-    """Guards against what chance wastes: of two dispatches drawn in a row the second has no room under the cap. Ten
-    invocations in a window of 4 s, cap 0.42, one free: the part is 0.25, and drawn by chance 0.16 went there."""
+def test_an_agent_with_little_traffic_gives_the_trial_its_share():
+    """Guards against a share lost by chance: of two dispatches drawn in a row the second exceeds the cap.
+
+    With ten invocations in a window of 4 s, a cap of 0.42 and one free dispatch, the share is 0.25; when it
+    was drawn by chance, 0.16 went there.
+    """
     at_trial = asked = 0
     for seed in range(10):
         scene = Scene(seed, caps=(0.42, 0.42, 1.0))
@@ -220,8 +230,8 @@
     assert 0.235 * asked < at_trial <= 0.26 * asked, at_trial / asked
 
 
-def test_a_second_copy_that_a_jam_forbids_goes_once_the_jam_is_over():
-    """Guards against connections that fell silent while something was held: they were waited for to the end."""
+def test_a_second_copy_is_sent_once_the_concurrency_limit_allows_it():
+    """Guards against waiting to the end for a connection that fell silent while others were held."""
     scene = Scene(may_duplicate=True)
     scene.list(*EARLIER)
     scene.released()
@@ -234,7 +244,7 @@
     assert len(silent.dispatches) == 2 and silent.dispatches[1].sent <= 700 * MS
 
 
-def test_guarded_stages_take_idempotent_ones_only():
+def test_guarded_stages_get_idempotent_operations_only():
     scene = Scene(guarded_stages=1, free=9.0)
     scene.list("old0")
     scene.stage(2, 0, 1.0)
@@ -244,8 +254,8 @@
     assert [d.appliance.id for d in scene.out] == ["old0", "old0", "new0"]
 
 
-def test_each_effect_after_a_failure():
-    """Idempotent: again. Fingerprinted: again in its zone and window only. Side-effecting: only if it never ran."""
+def test_retries_follow_the_effect_of_the_operation():
+    """Idempotent: always. Fingerprinted: in its zone and window. Side-effecting: only if it never ran."""
     scene = Scene()
     scene.list("a0", "a1")
     scene.list("b0", zone="b")
@@ -266,7 +276,7 @@
     scene.matches("effects")
 
 
-def test_held_past_its_window_is_not_sent_again():
+def test_a_fingerprinted_invocation_is_not_retried_after_its_window():
     scene = Scene()
     scene.order.window = 200 * MS
     scene.list("a0", "a1")
@@ -288,8 +298,8 @@
     assert {d.appliance.id for d in scene.out} == {"a1"}
 
 
-def test_cold_budget():
-    """Guards a cold appliance: its part of the traffic, cut to what is warm, however idle it looks."""
+def test_a_cold_appliance_gets_no_more_than_its_share():
+    """The share is cut to what is warm, however idle the appliance looks."""
     scene = Scene()
     scene.list("a0", "a1", "a2")
     scene.released()
@@ -303,8 +313,8 @@
     assert [d.appliance.id for d in scene.out].count("cold") in range(9, 41)
 
 
-def test_many_agents_together_leave_a_cold_one_standing():
-    """Guards against each of very many agents sending "only one" to the machine that has just started."""
+def test_many_agents_together_do_not_overload_a_cold_appliance():
+    """Guards against very many agents that each send one dispatch to an appliance that has just started."""
     sent = []
     for seed in range(60):
         scene = Scene(seed=seed, agents=60)
@@ -318,8 +328,8 @@
     assert 0 < sent.count("cold") < len(sent) / 7
 
 
-def test_of_a_probed_pair_the_one_that_answers_is_taken():
-    """Guards against a machine that stands still or is gone while the list still names it; none is shut for it."""
+def test_of_two_probed_appliances_the_one_that_answers_is_chosen():
+    """Guards against an appliance that stands still, or is gone but listed; its circuit is not closed."""
     scene = Scene()
     scene.silent = ("a0",)
     scene.list("a0", "a1")
@@ -334,7 +344,7 @@
     assert scene.lines.count("a1") > 15 and not any("shut" in line for line in scene.lines)
 
 
-def test_zone_without_connection_is_drawn_less_often():
+def test_a_zone_that_cannot_be_connected_to_is_chosen_less_often():
     """Guards against a link between zones that is slow or cut."""
     scene = Scene()
     scene.list("a0", "a1", "a2")
@@ -350,7 +360,7 @@
     assert sent[50:].count("b") < len(sent[50:]) / 8
 
 
-def test_answer_comes_in_time():
+def test_the_final_answer_comes_before_the_client_gives_up():
     scene = Scene()
     scene.list("a0")
     scene.released()
@@ -362,7 +372,7 @@
     scene.matches("in_time")
 
 
-def test_votes_refused_and_lapsed_are_cast_anew():
+def test_refused_and_lapsed_votes_are_cast_again():
     scene = on_trial()
     scene.traffic(6 * S)
     scene.stage(0, 0, 0.0, answer="full")
@@ -370,7 +380,7 @@
     scene.matches("votes")
 
 
-def test_subscription_is_asked_for_until_it_stands():
+def test_the_subscription_is_repeated_until_the_list_comes():
     scene = Scene(must_ask=True)
     scene.pass_to(2 * S)
     scene.agent.on_list("changes", [])
@@ -380,7 +390,7 @@
     scene.matches("subscription")
 
 
-def test_silent_appliance_is_shut():
+def test_the_circuit_to_a_silent_appliance_is_closed():
     scene = Scene(dispatch_limit=1)
     scene.list("a0", "a1")
     scene.released()
@@ -389,8 +399,8 @@
     scene.matches("silent")
 
 
-def test_reports_are_pooled_by_message():
-    """Wrong answers are too rare for one agent's blocks."""
+def test_reports_of_wrong_answers_are_pooled_over_all_agents():
+    """One agent gets too few reports of wrong answers to fill its blocks."""
     scene = on_trial(may_message=True, flag_share=0.5)
     scene.traffic(3 * S)
     for _ in range(8):
@@ -401,9 +411,12 @@
     scene.matches("reports")
 
 
-def test_sampled_counts_tell_a_build_that_slows_every_machine():
-    """By the earlier build's mean time, against the time when the trial had little traffic; under a clock it holds first.
-    The trial's own rows, and a period that began before the stage, tell nothing."""
+def test_tallies_show_a_build_that_slows_every_appliance():
+    """The earlier build's mean time is compared with the time when the trial had little traffic.
+
+    Where stages end by a timer, the agent votes to hold first. Tallies of the trial, and a period that began
+    before the stage, are no evidence.
+    """
     scene = on_trial(control="timer")
 
     def counted(mean):
@@ -420,10 +433,13 @@
     scene.matches("clock")
 
 
-@pytest.mark.parametrize("slow, told", [(EARLIER, True), (EARLIER[:2], False)])
-def test_a_build_that_slows_every_machine_shows_against_before(slow, told):
-    """Side by side they never differ. Answers take 50 ms until the second stage, then 400 at every earlier machine, or,
-    which is no build's fault, at two of them; where several agents must agree."""
+@pytest.mark.parametrize("slow, detected", [(EARLIER, True), (EARLIER[:2], False)])
+def test_a_build_that_slows_every_appliance_shows_against_the_past(slow, detected):
+    """Guards against a build that slows the earlier build's appliances too, so that no side differs.
+
+    Answers take 50 ms until the second stage, then 400 ms at every earlier appliance, or at two of them,
+    which is no build's fault. Several agents must agree.
+    """
     scene = on_trial(shares=(0.1, 0.2, 1.0), back_votes=2, agents=4)
     scene.traffic(8 * S)
     scene.agent.settings["shares"] = (0.1, 0.35, 1.0)
@@ -437,11 +453,11 @@
             d for d in scene.out if d.sent <= scene.engine.now - (400 if d.appliance.id in slow else 50) * MS
         ]:
             scene.end(dispatch)
-    assert any("vote back" in line and "40/0.3" in line for line in scene.lines) is told
+    assert any("vote back" in line and "40/0.3" in line for line in scene.lines) is detected
 
 
-def test_a_report_after_its_block_has_closed():
-    """Found by a hunt: no trial answer is in the open block yet."""
+def test_a_report_counts_after_the_block_of_its_answer_has_closed():
+    """Guards against a fault where the open block has a report but no answer of the trial yet."""
     scene = on_trial(flag_share=0.3, back_votes=3, agents=30)
     scene.agent.evidence.add_pooled(0, False, 0, 50)
     scene.agent.on_flag(scene.draw, scene.fleet["new0"], S)
@@ -449,13 +465,13 @@
     scene.agent.evidence.add_pooled(0, True, 0, 3)
     assert (
         scene.agent.evidence.strongest().margin() > 0
-    )  # one report in three answers, where several must agree
+    )  # one report in three answers suffices where several agents must agree
     scene.agent.evidence.add_pooled(0, True, 0, 30)
     assert scene.agent.evidence.strongest().margin() < 0
 
 
-def test_standing_connections_are_kept_to_where_new_ones_fail():
-    """Guards against appliances that take few connections: two of thirty take them here."""
+def test_open_connections_are_preferred_where_new_ones_fail():
+    """Guards against appliances that accept few connections: here two of thirty accept any."""
     scene, sent = Scene(), []
     scene.list(*(f"a{n}" for n in range(30)))
     scene.released()
@@ -465,10 +481,12 @@
         return "succeeded" if sent[-1] else UNCONNECTED
 
     scene.traffic(6 * S, how)
-    assert sent.count(False) < 100  # 175 when any two of all were tried until shut
+    assert (
+        sent.count(False) < 100
+    )  # it was 175 when any two appliances were tried until their circuit was closed
 
 
-def test_the_own_zone_comes_first_until_it_is_strained():
+def test_the_own_zone_is_preferred_until_its_answers_are_late():
     scene, sent = Scene(may_probe=False), []
     scene.list("a0", "a1")
     scene.list("b0", "b1", zone="b")
@@ -484,7 +502,7 @@
         assert (sent[100:].count("b") > 20) is (took > 500 * MS)
 
 
-def test_what_an_own_stall_withheld_goes_at_once():
+def test_invocations_delayed_by_a_stall_of_the_process_are_sent_at_once():
     scene = Scene(may_probe=False)
     scene.list(*(f"a{n}" for n in range(10)))
     scene.released()
@@ -497,8 +515,8 @@
     assert len(scene.out) == before + 30
 
 
-def test_few_invocations_are_no_overload():
-    """Guards against the tail of service times: a bound that little traffic never tests grows back by itself."""
+def test_the_concurrency_limit_recovers_under_little_traffic():
+    """Guards against a limit that single long answers have lowered and that little traffic never reaches."""
     scene = Scene(may_probe=False)
     scene.list("a0", "a1")
     scene.released()
@@ -507,8 +525,8 @@
     assert scene.agent.concurrency_limit > 3.5
 
 
-def test_clients_in_a_hurry_do_not_lower_the_bound():
-    """They come with 300 ms of an SLO time of 1 s; half is answered after 200 ms, half not in time."""
+def test_short_client_deadlines_do_not_lower_the_concurrency_limit():
+    """Clients wait for 300 ms of an SLO time of 1 s; half are answered, half are not in time."""
     scene = Scene(may_probe=False, may_duplicate=True)
     scene.list("a0", "a1")
     scene.released()
@@ -522,9 +540,12 @@
 
 
 @pytest.mark.parametrize("before, least, most", [("fast", 3.3, 9.0), ("slow", 0.5, 3.0)])
-def test_late_answers_lower_the_bound_less_behind_quick_ones(before, least, most):
-    """Guards against single appliances that stand still being taken for overload: on a full-size day of pauses an agent's
-    bound stood at 2, and 10 to 40% were throttled. In overload most answers are slow, and the late ones count in full."""
+def test_a_late_answer_after_quick_ones_lowers_the_concurrency_limit_less(before, least, most):
+    """Guards against single appliances that stand still being taken for overload.
+
+    In a simulated day of pauses an agent's limit stood at 2, and 10 to 40% of the invocations were
+    throttled. In an overload most answers are slow, and late ones count in full.
+    """
     scene = Scene(agents=20)
     scene.list(*EARLIER)
     scene.released()
@@ -537,8 +558,8 @@
     assert least <= scene.agent.concurrency_limit <= most, scene.agent.concurrency_limit
 
 
-def test_an_agent_may_have_four_out_from_its_first_moment():
-    """Guards against a fleet that throttles as it starts, or starts anew, since its bounds have yet to grow."""
+def test_a_new_agent_may_have_four_dispatches_outstanding():
+    """Guards against throttling when all agents start or restart, because their limits have yet to grow."""
     scene = Scene(agents=200)
     scene.list(*EARLIER)
     scene.released()
@@ -547,7 +568,7 @@
     assert len(scene.out) == 4
 
 
-def test_what_is_worth_more_has_more_room():
+def test_operations_of_higher_value_have_a_higher_concurrency_limit():
     scene = Scene(may_probe=False)
     scene.list("a0", "a1")
     scene.released()
@@ -559,8 +580,8 @@
     assert [line for line in scene.lines if line.endswith(" out")] in (["4 out", "8 out"], ["5 out", "9 out"])
 
 
-def test_a_report_without_a_load_ends_the_probes():
-    """Guards against a fresh load of 0, worse than none: a queue and mean time tell it, a rate alone does not."""
+def test_load_reports_without_a_load_end_the_probes():
+    """Guards against a wrong load of 0: a queue and a mean time give the load, a rate alone does not."""
     scene = Scene()
     scene.list("a0", "a1")
     one, asked = scene.fleet["a0"], []
@@ -574,8 +595,8 @@
     assert not asked
 
 
-def test_votes_through_an_outage_of_the_conveyor():
-    """Each gets no answer: the first is cast anew at once, then one in a quarter to half of the vote's life."""
+def test_votes_without_an_answer_are_cast_again_during_an_outage_of_the_conveyor():
+    """The first is cast again at once, each further one after a quarter to half of the vote's life."""
     scene = on_trial()
     scene.traffic(6 * S)
     cast = [line for line in scene.lines if "vote on" in line]
@@ -587,8 +608,8 @@
     assert 5 <= len(cast) <= 10
 
 
-def test_a_vote_back_lapses_with_its_evidence():
-    """Guards against false reports that add up over a stage: the count of an agent that voted back goes on."""
+def test_a_vote_back_lapses_once_its_evidence_has_gone():
+    """Guards against false reports that add up over a stage: an agent that voted back goes on counting."""
     scene = on_trial(flag_share=0.3, back_votes=3, agents=30, vote_life=2 * S)
     scene.agent.is_voter = True
     scene.agent.evidence.add_pooled(0, False, 0, 60)
@@ -600,7 +621,7 @@
     assert votes and float(votes[-1].split()[0]) < 6 and (scene.agent.current_vote or ("on",))[-1] != "back"
 
 
-def test_exposure_counts_by_operation():
+def test_exposure_is_counted_for_each_operation_where_the_settings_say_so():
     scene = Scene(per_operation=True)
     scene.list("old0")
     scene.stage(2, 0, 0.1)
@@ -612,8 +633,8 @@
     assert sorted(sent) == ["draw", "order"]
 
 
-def test_the_kept_tightest_send_allows_what_looking_at_all_would():
-    """Drawn days of one exposure: caps that change, sends that move, batches, long pauses."""
+def test_the_window_budget_allows_the_same_as_a_check_of_every_send():
+    """Random sequences: caps that change, sends that are taken back, batches, long pauses."""
     allowed = refused = 0
     for seed in range(60):
         chance = random.Random(seed)
@@ -640,8 +661,8 @@
     assert allowed > 2000 and refused > 2000
 
 
-def test_enough_agents_draw_to_vote_a_stage_on():
-    """Guards against a stage that can't go on: 107 of 216 drew to vote on a full-size day, and 108 were needed."""
+def test_enough_agents_are_drawn_as_voters_to_pass_a_stage():
+    """Guards against a stage that can't pass: in a simulated day 107 of 216 agents were drawn, 108 needed."""
     for fleet in range(12):
         drawn = 0
         for me in range(216):
@@ -658,8 +679,8 @@
         assert 108 <= drawn < 160, drawn
 
 
-def test_a_vote_that_is_one_too_many_is_cast_again_soon_each_time():
-    """Guards against an allowance that all agents share going unused while those refused wait half a vote's life."""
+def test_a_vote_refused_as_one_too_many_is_cast_again_soon_every_time():
+    """Guards against unused vote allowance while the agents that were refused wait for half a vote's life."""
     scene, cast = on_trial(), []
     while scene.engine.now < 12 * S:
         if len(now := [line for line in scene.lines if "vote on" in line]) > len(cast):
@@ -667,12 +688,12 @@
             scene.stage(0, 0, 0.0, answer="full")
         scene.pass_to(scene.engine.now + 20 * MS)
     times = [float(line.split()[0]) for line in cast]
-    assert len(times) > 8 and max(b - a for a, b in zip(times, times[1:])) <= 0.55
+    assert len(times) > 8 and max(b - a for a, b in itertools.pairwise(times)) <= 0.55
 
 
 @pytest.mark.parametrize("price, least, most", [(0.0, 100, 400), (0.01, 100, 400), (0.08, 1, 50)])
-def test_probes_are_as_rare_as_they_are_dear(price, least, most):
-    """Guards against a fleet whose probes cost more than they tell: 0.1 of the worth on a full-size day."""
+def test_the_more_probes_cost_the_fewer_are_sent(price, least, most):
+    """Guards against probes that cost more than they gain: 0.1 of the total value in a simulated day."""
     scene, asked = Scene(may_probe=True, probe_price=price), []
     scene.list(*(f"a{n}" for n in range(40)))
     scene.released()
@@ -683,8 +704,8 @@
 
 
 @pytest.mark.parametrize("price, least, most", [(0.0, 30, 40), (0.05, 6, 24)])
-def test_standing_connections_come_first_where_new_ones_have_a_price(price, least, most):
-    """Guards against agents that each spread over all machines and leave their connections idle."""
+def test_open_connections_are_preferred_where_new_ones_have_a_price(price, least, most):
+    """Guards against agents that spread over all appliances and leave their connections idle."""
     scene, used = Scene(connect_price=price, may_probe=False), set()
     scene.list(*(f"a{n}" for n in range(40)))
     scene.released()
@@ -692,25 +713,27 @@
     assert least <= len(used) <= most, len(used)
 
 
-def test_of_a_life_before_what_is_not_known_counts_as_worst():
-    """A key that may be bound goes to no earlier machine while the trial is on, and the free dispatches are spent."""
+def test_the_worst_is_assumed_of_what_an_earlier_process_left_unknown():
+    """A key that may be bound goes to no earlier build in the trial; the free dispatches count as used."""
     scene = Scene(one_way=True, free=2.0)
     scene.agent.restore({"known": 2}, True, True)
     scene.list(*EARLIER)
-    assert not scene.take(scene.draw, key="other").dispatches  # before any word of a stage
+    assert not scene.take(scene.draw, key="other").dispatches  # no stage is known yet
     scene.stage(2, 0, 0.2)
     scene.list(*TRIAL, build=2)
     for key in ("known", "other"):
         scene.take(scene.draw, key=key)
     scene.take(scene.draw)
-    assert [d.appliance.build for d in scene.out] == [1]  # the one without a key; no room at the trial yet
-    scene.pass_to(S)  # those held were throttled
-    scene.stage(3, 0, 0.2)  # of another build nothing can have been bound
+    assert [d.appliance.build for d in scene.out] == [
+        1
+    ]  # the one without a key; the trial has no free dispatch left
+    scene.pass_to(S)  # the held invocations were throttled
+    scene.stage(3, 0, 0.2)  # no key can be bound by another build
     scene.take(scene.draw, key="third")
     assert len(scene.out) == 2
 
 
-def test_where_keys_go_both_ways_nothing_was_forgotten():
+def test_unknown_keys_do_not_matter_where_keys_may_change_builds():
     scene = Scene(free=2.0)
     scene.agent.restore({}, True, True)
     scene.list(*EARLIER)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter end to end: a hand-written batch is answered, malformed input ends with one plain message."""
+"""The simulator's adapter as a process: it answers a batch, and ends with one message on malformed input."""
 
 import json
 import subprocess
@@ -23,14 +23,14 @@
 )
 
 
-def drill(text: str) -> subprocess.CompletedProcess:
+def run_drill(text: str) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "cartweir.drill"], input=text.encode(), capture_output=True
+        [sys.executable, "-B", "-m", "cartweir.drill"], input=text.encode(), capture_output=True, check=False
     )
 
 
 def test_a_batch_is_answered():
-    done = drill(
+    done = run_drill(
         START + "TURN\tclock=12.5\nEXPIRED\tagent=agent_0\trequestId=77\nDESTROY\tagent=agent_0\n"
         "OVER_TO_YOU\n"
     )
@@ -51,7 +51,7 @@
     ],
 )
 def test_malformed_input_ends_with_one_message(line, reason):
-    done = drill(START + f"TURN\tclock=20\n{line}\nOVER_TO_YOU\n")
+    done = run_drill(START + f"TURN\tclock=20\n{line}\nOVER_TO_YOU\n")
     text = done.stderr.decode()
     assert done.returncode == 1 and reason in text
     assert text.count("\n") == 1 and "line 10" in text
