--- a/cartweir/logic/voting.py
+++ b/cartweir/logic/voting.py
@@ -41,17 +41,17 @@
         if stage.phase not in (ON_TRIAL, RELEASED) or not state.is_voter:
             return
         if strongest.margin() > 0:
-            self._plan(BACK)
+            self.plan(BACK)
         elif stage.phase == ON_TRIAL:
             undecided = strongest.log_ratio() > log(UNDECIDED_RATIO)
             state.undecided_since = state.undecided_since or (now if undecided else 0)
             held = undecided and now - state.undecided_since < MAX_DELAY
             if held and settings["control"] == "timer":
-                self._plan(HOLD)
+                self.plan(HOLD)
             elif not held and settings["control"] != "timer" and now >= newest_start(state) + ON_AFTER:
-                self._plan(ON)
+                self.plan(ON)
 
-    def _plan(self, verdict: str) -> None:
+    def plan(self, verdict: str) -> None:
         """Plans one vote at a random moment; it is cast again as it lapses or is refused."""
         state = self.state
         vote = (state.stage.build, state.stage.number, verdict)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -193,7 +193,7 @@
     async with parts(tmp_path, answer, (answer, 2), stage=TRIAL, cores=2) as it:
         agent = it.decider.engine_host.engine.agent
         agent.is_voter = True
-        agent.plan("on")
+        agent.voting.plan("on")
         await until(lambda: it.log.of("vote"))
         await asyncio.sleep(0.1)
         it.decider_ends()
