--- a/cartweir/logic/agent.py
+++ b/cartweir/logic/agent.py
@@ -66,18 +66,14 @@
 MAX_WOKEN = 4  # held invocations that are woken at a time
 
 MAX_TAKEN = 40  # invocations taken, at which the counts of them and of those that succeeded are halved
-COLD_PART = 0.55  # of the load at which a cold appliance falls over: what it gets at most
-COLD_MULTIPLE, COLD_MULTIPLE_IN_PLACE = (
-    2,
-    0.5,
-)  # of its even part, and less of it where builds change in place
+COLD_FALL_PART = 0.55  # of the multiple at which a cold appliance falls over: what it gets at most
+COLD_MULTIPLE = 2  # of its even part
+IN_PLACE_REDUCTION = 0.5  # of this multiple, where builds change in place
 
 KEY_PART = 0.7  # of the cap: what one-way keys may bind
 MAX_TRIAL_DEFICIT = 2.0
 
-WINDOW_MARGIN = (
-    50 * MILLISECOND
-)  # before the end of an operation's window, in which repeats are no longer sent
+WINDOW_MARGIN = 50 * MILLISECOND  # repeats are no longer sent so shortly before the end of a window
 RETRY_MARGIN = 20 * MILLISECOND  # before the time from which on an answer is of no use
 MIN_TIMEOUT = MILLISECOND
 HOLD_STEP = 50 * MILLISECOND  # after which a held invocation is looked at again
@@ -85,7 +81,7 @@
 PROBE_PART = 15  # a probe is waited for as long as one part in this many of the SLO time
 SECOND_COPY_PART = 16  # a second copy that was not allowed is tried again after one part in this many
 SECOND_COPY_USE = 0.8  # of the bound on outstanding dispatches; above, no second copy is sent
-MAX_ERRORS = 1  # an invocation that has erred more often errs anywhere
+MAX_ERRORS = 1  # an invocation that has failed more often fails at any appliance
 MAX_VALUE_FACTOR = 2.0  # in overload, up to this much more room is left for what is worth most
 MAX_ADVICE = SECOND  # the longest time after which a client is told to retry
 
@@ -277,8 +273,8 @@
                 # Credit that is not spent at once lapses, or all agents would save up for a burst.
                 self.cold_credit = self.rng.random() - 1
             most = min(
-                COLD_MULTIPLE - COLD_MULTIPLE_IN_PLACE * self.settings["in_place"],
-                self.settings["fall_multiple"] * COLD_PART,
+                COLD_MULTIPLE - IN_PLACE_REDUCTION * self.settings["in_place"],
+                self.settings["fall_multiple"] * COLD_FALL_PART,
             )
             self.cold_credit_rate = part * served * most
             self.cold_credit += self.cold_credit_rate
@@ -354,8 +350,7 @@
         part = sum(a.weight for a in self.trial_appliances if warmth(self, a) >= 1.0) / self.usual_weight
         if on_trial and self.settings["one_way"]:  # the cap holds in any short span, and keys come in bursts
             part = min(part, KEY_PART * self.stage.cap)
-        # A key that the trial answers binds all invocations that follow with it, which must fit the trial's
-        # part.
+        # A key that the trial answers binds all later invocations with it, which must fit the trial's part.
         bound = invocation.key in self.bound_keys
         bound_share = sum(map(self.bound_keys.__contains__, self.recent_keys)) / (len(self.recent_keys) + 1)
         if not tried and self.cold_appliances and self.cold_credit >= 0:
