--- a/cartweir/drill/adapter.py
+++ b/cartweir/drill/adapter.py
@@ -403,7 +403,7 @@
         act()
     except WireError:
         raise
-    except Exception as error:  # whatever it is, the simulator is to be told
+    except Exception as error:  # whatever it is, the simulator must learn of it
         where = traceback.extract_tb(error.__traceback__)[-1]
         text = f"{type(error).__name__} at {where.name}:{where.lineno}: {error}"
         out.append(encode("GIVE_IN", agent=name, reasonText=one_line(text)[:REASON_LENGTH]))
--- a/cartweir/interface.py
+++ b/cartweir/interface.py
@@ -197,7 +197,7 @@
 
 @dataclass(slots=True)
 class Stage:
-    """State of the newest build's roll-out, as the release controller tells it.
+    """State of the newest build's roll-out, as the release controller reports it.
 
     Attributes:
         build: the newest build.
@@ -217,7 +217,7 @@
 
     @property
     def identity(self) -> tuple[int, int, str]:
-        """Two messages tell of the same stage if these values are equal."""
+        """Two messages are about the same stage if these values are equal."""
         return self.build, self.number, self.phase
 
 
--- a/cartweir/logic/agent.py
+++ b/cartweir/logic/agent.py
@@ -43,7 +43,7 @@
 from .count_exchange import CountExchange
 from .evidence import Evidence
 from .exposure import make_budgets, within_limits
-from .health import close_if_silent, record_answer, record_outcome
+from .health import eject_if_silent, record_answer, record_outcome
 from .list_lease import ListLease
 from .overload import adjust_concurrency_limit, raise_limit_to_fleet
 from .selection import CHOICES, MOST_AVOIDED, load_score, preferred, to_probe
@@ -228,7 +228,7 @@
         key = dispatch.invocation.key if self.settings["one_way"] else None
         if key:
             self._record_key(key, outcome)
-        close_if_silent(self, dispatch, result)
+        eject_if_silent(self, dispatch, result)
         self.evidence.observe(outcome)
         if self.evidence.strongest().margin() > 0:
             self.voting.review()
@@ -247,7 +247,7 @@
             self.bound_keys[key] = appliance.build
 
     def on_probe(self, appliance: Appliance, answered: bool, duration: int, load: Mapping | None) -> None:
-        """Takes the result of a probe. One without an answer closes nothing: it only makes probes rarer."""
+        """Takes the result of a probe. One without an answer ejects nothing: it only makes probes rarer."""
         self.probe_answer_share += (answered - self.probe_answer_share) / PROBE_MEMORY
         if answered:
             record_answer(self, appliance.decision_state, load, duration, probe=True)
@@ -309,13 +309,13 @@
     def may_go(self, invocation: Invocation, appliance: Appliance) -> bool:
         """Returns whether the invocation may be sent to the appliance.
 
-        Every dispatch is checked for: drains, the circuit breaker, repeats, cold appliances, exposure and
+        Every dispatch is checked for: drains, ejection, repeats, cold appliances, exposure and
         keys.
         """
         health = appliance.decision_state
-        closed = health.closed_until > self.host.now or (health.closures and health.open_dispatches)
+        ejected = health.ejected_until > self.host.now or (health.ejections and health.open_dispatches)
         leaving = appliance.state != READY or not self.list_lease.holds(self.host.now)
-        if leaving or closed or (self.cold_credit < 0 and warmth(self, appliance) < 1.0):
+        if leaving or ejected or (self.cold_credit < 0 and warmth(self, appliance) < 1.0):
             return False
         return self.may_repeat(invocation, appliance) and within_limits(self, invocation, appliance)
 
--- a/cartweir/logic/builds.py
+++ b/cartweir/logic/builds.py
@@ -6,9 +6,7 @@
 from ..state import AgentState
 from .timing import SECOND
 
-UNLISTED_START = (
-    8 * SECOND
-)  # a stage's newest appliance starts about this long after the stage, while not all are listed
+UNLISTED_START = 8 * SECOND  # from a stage's start to that of its newest appliance, until all are listed
 ROUNDING = 1e-6
 
 
--- a/cartweir/logic/evidence.py
+++ b/cartweir/logic/evidence.py
@@ -145,7 +145,7 @@
             self.add_pooled(FLAG_COUNTS, trial, 0, 1)
             self._compare_with_past(appliance, outcome.duration > too_long)
         final = outcome.complete or operation.effect == SIDE_EFFECTING
-        # once the earlier build is gone, no repeat there tells a bad request from a bad build
+        # once the earlier build is gone, no repeat there separates a bad request from a bad build
         if result != ERROR or (final and not self.state.earlier_build_gone):
             slow = result != SUCCEEDED or outcome.duration > too_long
             self._add_outcome(dispatch, result in (ERROR, RESET), slow)
@@ -164,7 +164,7 @@
         if dispatch.result != TIMEOUT:
             self.add(operation, ERROR_STREAM, trial, failed)
             self.add_pooled(ERROR_COUNTS, trial, failed, 1)
-        # A cold appliance is slow whatever its build. A single one or an own stall tells nothing, nor does
+        # A cold appliance is slow whatever its build. A single one or an own stall is no evidence, nor is
         # the jump in load as the earlier appliances go.
         distorted = (
             (now - appliance.started < MIN_APPLIANCE_AGE and appliance.started)
--- a/cartweir/logic/health.py
+++ b/cartweir/logic/health.py
@@ -1,4 +1,4 @@
-"""Health of single appliances: circuit breaker, connections, and load reports."""
+"""Health of single appliances: ejection of silent ones, connections, and load reports."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .timing import MILLISECOND, SECOND
 
 MAX_OUTCOMES = 16  # of an appliance; the counts are halved there
-MAX_UNANSWERED = 3  # dispatches in a row without an answer; one more closes the circuit
-MAX_CLOSURES = 4  # beyond which the time that it is closed grows no further
+MAX_UNANSWERED = 3  # dispatches in a row without an answer; one more ejects it
+MAX_EJECTIONS = 4  # beyond which the time that it is ejected for grows no further
 CONNECT_MEMORY = 8  # one new connection counts for one part in this many
 FULL_LOAD = 3  # load, in requests in work, of an appliance that reports full utilization
 PROBE_TIME_PER_LOAD = 50 * MILLISECOND  # duration of a probe that stands for one request in work
@@ -54,13 +54,13 @@
         state.probes_report_load = False
 
 
-def close_if_silent(state: AgentState, dispatch: Dispatch, result: str) -> None:
-    """Closes the circuit to an appliance that has not answered several dispatches in a row."""
+def eject_if_silent(state: AgentState, dispatch: Dispatch, result: str) -> None:
+    """Ejects an appliance, for a time, that has not answered several dispatches in a row."""
     health, now = dispatch.appliance.decision_state, state.host.now
-    if health.unanswered_count > MAX_UNANSWERED and now >= health.closed_until:
-        health.closures = min(health.closures + 1, MAX_CLOSURES)
-        health.closed_until = now + (SECOND << health.closures) // 2
+    if health.unanswered_count > MAX_UNANSWERED and now >= health.ejected_until:
+        health.ejections = min(health.ejections + 1, MAX_EJECTIONS)
+        health.ejected_until = now + (SECOND << health.ejections) // 2
         state.host.log(
-            f"shut {dispatch.appliance.id}: {result}, strike {health.closures}, "
+            f"shut {dispatch.appliance.id}: {result}, strike {health.ejections}, "
             f"silent {health.unanswered_count}"
         )
--- a/cartweir/logic/selection.py
+++ b/cartweir/logic/selection.py
@@ -68,7 +68,7 @@
     """
     stale = [a for a in pair if state.host.now - a.decision_state.last_answer_at > LOAD_KNOWN_FOR]
     useful = state.settings["may_probe"] and len(pair) == CHOICES and state.probes_report_load
-    # Guards against a fleet whose probes cost more than they tell: each agent sends few, all together many.
+    # Guards against a fleet whose probes cost more than they gain: each agent sends few, all together many.
     often = min(1.0, PROBE_BUDGET / max(state.settings["probe_price"], PROBE_BUDGET))
     answered = max(state.probe_answer_share, MIN_PROBE_SHARE)
     return stale if useful and state.rng.random() < often * answered else []
--- a/cartweir/logic/sequential_test.py
+++ b/cartweir/logic/sequential_test.py
@@ -22,7 +22,7 @@
 class StreamKind(NamedTuple):
     """A kind of evidence: trial outcomes in a block, and width of the Normal prior.
 
-    Streams are stored and compared as plain tuples; the block size tells the kinds apart.
+    Streams are stored and compared as plain tuples; the block size identifies the kind.
     """
 
     block: int
--- a/cartweir/state.py
+++ b/cartweir/state.py
@@ -156,8 +156,8 @@
         open_dispatches: own dispatches that are outstanding.
         good: recent outcomes that succeeded; halved now and then.
         bad: recent outcomes that failed; halved now and then.
-        closed_until: until when the circuit breaker lets nothing through.
-        closures: how often in a row it was closed.
+        ejected_until: until when no dispatch is sent to it (outlier ejection).
+        ejections: how often in a row it was ejected.
         unanswered_count: dispatches in a row that ended without an answer.
         load: as reported, plus own dispatches since.
         load_at: when it was reported.
@@ -170,8 +170,8 @@
     open_dispatches: int = 0
     good: float = 0.0
     bad: float = 0.0
-    closed_until: int = 0
-    closures: int = 0
+    ejected_until: int = 0
+    ejections: int = 0
     unanswered_count: int = 0
     load: float = 0.0
     load_at: int = 0
@@ -188,7 +188,7 @@
         elif result in (TIMEOUT, RESET, UNCONNECTED):
             self.unanswered_count += 1
         if result == SUCCEEDED:
-            self.good, self.closures = self.good + 1, 0
+            self.good, self.ejections = self.good + 1, 0
         elif result not in (CANCELLED, OBSOLETE):
             self.bad += 1
         if self.good + self.bad >= max_outcomes:
--- a/cartweir/window.py
+++ b/cartweir/window.py
@@ -39,7 +39,7 @@
     def take(self, now: int) -> None:
         """Counts an invocation, which allows for further sends."""
         self.taken += 1
-        for send in reversed(self.sends):  # of events at one time, the order is not known to others
+        for send in reversed(self.sends):  # others do not know the order of events at one time
             if send[0] != now:
                 break
             send[1] = self.taken
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -329,7 +329,7 @@
 
 
 def test_of_two_probed_appliances_the_one_that_answers_is_chosen():
-    """Guards against an appliance that stands still, or is gone but listed; its circuit is not closed."""
+    """Guards against an appliance that stands still, or is gone but listed; it is not ejected."""
     scene = Scene()
     scene.silent = ("a0",)
     scene.list("a0", "a1")
@@ -390,7 +390,7 @@
     scene.matches("subscription")
 
 
-def test_the_circuit_to_a_silent_appliance_is_closed():
+def test_a_silent_appliance_is_ejected():
     scene = Scene(dispatch_limit=1)
     scene.list("a0", "a1")
     scene.released()
@@ -481,9 +481,7 @@
         return "succeeded" if sent[-1] else UNCONNECTED
 
     scene.traffic(6 * S, how)
-    assert (
-        sent.count(False) < 100
-    )  # it was 175 when any two appliances were tried until their circuit was closed
+    assert sent.count(False) < 100  # it was 175 when any two appliances were tried until they were ejected
 
 
 def test_the_own_zone_is_preferred_until_its_answers_are_late():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -471,8 +471,8 @@
                 10.0  # what is tried here is one exchange, not a storm of them
             )
             for appliance in it.daemon.engine_host.appliance_list.appliances.values():
-                appliance.decision_state.unanswered_count = appliance.decision_state.closures = (
-                    appliance.decision_state.closed_until
+                appliance.decision_state.unanswered_count = appliance.decision_state.ejections = (
+                    appliance.decision_state.ejected_until
                 ) = 0
             plan.append((cut, how))
             client.write(ask(f"x{cut:03d}", operation))
