--- a/cartweir/logic/agent.py
+++ b/cartweir/logic/agent.py
@@ -43,7 +43,7 @@
 from .count_exchange import CountExchange
 from .evidence import Evidence
 from .exposure import make_budgets, within_limits
-from .health import eject_if_silent, record_answer, record_outcome
+from .health import MAX_UNANSWERED, eject, record_answer, record_outcome
 from .list_lease import ListLease
 from .overload import adjust_concurrency_limit, raise_limit_to_fleet
 from .selection import CHOICES, MOST_AVOIDED, load_score, preferred, to_probe
@@ -228,7 +228,8 @@
         key = dispatch.invocation.key if self.settings["one_way"] else None
         if key:
             self._record_key(key, outcome)
-        eject_if_silent(self, dispatch, result)
+        if dispatch.appliance.decision_state.unanswered_count > MAX_UNANSWERED:
+            eject(self, dispatch.appliance, result)
         self.evidence.observe(outcome)
         if self.evidence.strongest().margin() > 0:
             self.voting.review()
--- a/cartweir/logic/health.py
+++ b/cartweir/logic/health.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from ..interface import ERROR, FULL, SUCCEEDED, UNCONNECTED, Dispatch, Outcome
+from ..interface import ERROR, FULL, SUCCEEDED, UNCONNECTED, Appliance, Outcome
 from ..state import AgentState, ApplianceHealth
 from .timing import MILLISECOND, SECOND
 
@@ -54,13 +54,18 @@
         state.probes_report_load = False
 
 
-def eject_if_silent(state: AgentState, dispatch: Dispatch, result: str) -> None:
-    """Ejects an appliance, for a time, that has not answered several dispatches in a row."""
-    health, now = dispatch.appliance.decision_state, state.host.now
-    if health.unanswered_count > MAX_UNANSWERED and now >= health.ejected_until:
+def eject(state: AgentState, appliance: Appliance, result: str) -> None:
+    """Ejects an appliance for a time, unless it is ejected already.
+
+    Args:
+        state: the state of the agent.
+        appliance: one that has not answered several dispatches in a row.
+        result: of the last of these dispatches.
+    """
+    health, now = appliance.decision_state, state.host.now
+    if now >= health.ejected_until:
         health.ejections = min(health.ejections + 1, MAX_EJECTIONS)
         health.ejected_until = now + (SECOND << health.ejections) // 2
         state.host.log(
-            f"shut {dispatch.appliance.id}: {result}, strike {health.ejections}, "
-            f"silent {health.unanswered_count}"
+            f"shut {appliance.id}: {result}, strike {health.ejections}, silent {health.unanswered_count}"
         )
--- a/cartweir/logic/sequential_test.py
+++ b/cartweir/logic/sequential_test.py
@@ -96,8 +96,7 @@
         ):
             totals = [old + new for old, new in zip(totals, self.open_block(), strict=False)]
         precision, weighted, count, failures = totals
-        too_few_blocks = self.blocks < MIN_POOLED_BLOCKS and self.block == POOLED_STREAMS[1].block
-        if weighted <= 0 or too_few_blocks:
+        if weighted <= 0 or (self.blocks < MIN_POOLED_BLOCKS and self.block == POOLED_STREAMS[1].block):
             return 0.0
         common = (failures + self.half_failure) / (count + 2 * self.half_failure)
         spread = common * (1 - common) * (2 * self.half_failure) ** 0.5
