--- a/cartweir/logic/agent.py
+++ b/cartweir/logic/agent.py
@@ -310,8 +310,7 @@
     def may_go(self, invocation: Invocation, appliance: Appliance) -> bool:
         """Returns whether the invocation may be sent to the appliance.
 
-        Every dispatch is checked for: drains, ejection, repeats, cold appliances, exposure and
-        keys.
+        Every dispatch is checked for: drains, ejection, repeats, cold appliances, exposure, keys.
         """
         health = appliance.decision_state
         ejected = health.ejected_until > self.host.now or (health.ejections and health.open_dispatches)
--- a/cartweir/logic/evidence.py
+++ b/cartweir/logic/evidence.py
@@ -156,8 +156,7 @@
         operation, appliance, now = dispatch.invocation.operation, dispatch.appliance, state.host.now
         trial, trial_size = runs_newest_build(state, appliance), len(state.trial_appliances)
         if trial and (failed or slow) and trial_size > 1:
-            # failures in a row at one appliance count once in a while, so that it is not taken for a bad
-            # build
+            # Failures in a row at one appliance count once in 3 s, so that it is not taken for a bad build.
             if appliance is self.last_failed[0] and now - self.last_failed[1] < MIN_ROW_SPAN:
                 return
             self.last_failed = (appliance, now)
--- a/cartweir/logic/exposure.py
+++ b/cartweir/logic/exposure.py
@@ -32,8 +32,7 @@
     ):
         return False  # the trial may have answered it
     if cap is None:
-        # Once the build is released, any key may have been answered by it: a late earlier appliance gets
-        # none.
+        # A released build may have answered any key: an earlier appliance that is late gets none.
         newest_only = (
             state.settings["one_way"]
             and invocation.key
--- a/cartweir/logic/sequential_test.py
+++ b/cartweir/logic/sequential_test.py
@@ -50,8 +50,7 @@
             failures: failures among them.
             count: number of outcomes.
             earlier_build_gone: the build is released and the earlier appliances are gone, so that the earlier
-                side
-                of the last block stands in.
+                side of the last block stands in.
         """
         self.counts[trial], self.failures[trial] = self.counts[trial] + count, self.failures[trial] + failures
         if earlier_build_gone and self.counts[False] < MIN_EARLIER_OUTCOMES:
@@ -62,8 +61,7 @@
             # only recent outcomes: guards against jams
             self.counts[False], self.failures[False] = self.counts[False] / 2, self.failures[False] / 2
         if self.counts[True] >= self.block and self.counts[False] >= MIN_EARLIER_OUTCOMES:
-            # The weight of past blocks decays: guards against a build that turns bad late, or only under full
-            # load.
+            # Past blocks lose weight: guards against a build that turns bad late, or only under full load.
             self.totals = [
                 old * BLOCK_DECAY + new for old, new in zip(self.totals, self.open_block(), strict=False)
             ]
