--- a/cartweir/hosting/alarms.py
+++ b/cartweir/hosting/alarms.py
@@ -1,4 +1,4 @@
-"""The alarms that an engine asks for, on the loop's clock."""
+"""Runs the timers that a decision engine asks for on the clock of the event loop."""
 
 from __future__ import annotations
 
@@ -10,15 +10,27 @@
 
 
 class AlarmScheduler:
-    """`callback` is called at each moment that was asked for, or soon after."""
+    """Calls `callback` at each time that was asked for, or shortly after it.
+
+    Attributes:
+        loop: The event loop.
+        now: The clock, in microseconds.
+        callback: Called when one or more alarms are due.
+    """
 
     def __init__(self, loop: IOLoop, now: Callable[[], int], callback: Callable[[], None]) -> None:
-        self.loop, self.now, self.callback = loop, now, callback
-        self._next: tuple[int, Any] | None = None
+        self.loop = loop
+        self.now = now
+        self.callback = callback
+        self._next: tuple[int, Any] | None = None  # time and handle of the timer that is set on the loop
         self._dues: list[int] = []
 
     def schedule(self, due: int) -> None:
-        """Each one that is asked for fires: the engine may have run what an earlier one was for, and asked anew."""
+        """Asks for an alarm at the given time, in microseconds.
+
+        Each alarm fires, even if the engine has already run the timers of an earlier one: it may have asked
+        for another in the meantime.
+        """
         heapq.heappush(self._dues, due)
         self._schedule()
 
@@ -30,7 +42,10 @@
             self._next = (due, self.loop.call_later(max(0, due - self.now()) / 1e6, self._fire))
 
     def _fire(self) -> None:
-        """The loop's clock is finer than ours: it may wake us up to 1 us early, and then is asked again."""
+        """Calls back if an alarm is due, and sets the timer of the next one.
+
+        The loop's clock is finer than ours, so it may fire up to 1 us early; the timer is then set again.
+        """
         self._next, now, due = None, self.now(), False
         while self._dues and self._dues[0] <= now:
             heapq.heappop(self._dues)
@@ -38,5 +53,5 @@
         try:
             if due:
                 self.callback()
-        finally:  # whatever goes wrong there, the next one fires
+        finally:  # an exception in the callback must not keep the next alarm from firing
             self._schedule()
--- a/cartweir/hosting/backoff.py
+++ b/cartweir/hosting/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between tries to connect."""
+"""Exponential backoff between attempts to connect."""
 
 from __future__ import annotations
 
@@ -6,16 +6,28 @@
 
 
 class Backoff:
-    """Of tries to connect: doubling from the least to the most, each cut by chance to at least half."""
+    """Delays that double from a minimum to a maximum, each with random jitter.
 
-    def __init__(self, least: int, most: int, chance: random.Random) -> None:
-        self.least, self.most, self.chance = least, most, chance
+    The jitter takes off up to half of a delay, so that clients that lost a server together do not return
+    together.
+
+    Attributes:
+        least: The first delay, in microseconds.
+        most: The longest delay, in microseconds.
+        rng: The source of the jitter.
+    """
+
+    def __init__(self, least: int, most: int, rng: random.Random) -> None:
+        self.least = least
+        self.most = most
+        self.rng = rng
         self._next = least
 
     def next_delay(self) -> float:
-        """Seconds to wait before the next try."""
-        wait, self._next = self._next, min(2 * self._next, self.most)
-        return wait * (0.5 + self.chance.random() / 2) / 1e6
+        """Returns the seconds to wait before the next attempt, and doubles the delay behind it."""
+        delay, self._next = self._next, min(2 * self._next, self.most)
+        return delay * (0.5 + self.rng.random() / 2) / 1e6
 
     def reset(self) -> None:
+        """Starts from the shortest delay again, after a connection that worked."""
         self._next = self.least
--- a/cartweir/hosting/engine_host.py
+++ b/cartweir/hosting/engine_host.py
@@ -1,59 +1,97 @@
-"""The Door of a running agent: its objects, and the decisions' wishes handed on to the sockets. No socket here:
-the daemon gives it a World and real calls and links, a test gives it others.
+"""Hosts the decision engine of one running agent, and passes the engine's actions on to the sockets.
 
-Whatever happens outside comes in by the methods under 'in', each of which first lets overdue timers run, so that
-nothing is begun for an invocation whose time passed while the process stood still.
+There is no socket here: a daemon supplies an `Environment` with real calls and connections, a test supplies
+others.
+
+Everything that happens outside enters by the methods of `EngineHost` under "events". Each of them first runs
+the timers that are overdue, so that nothing is begun for an invocation whose time ran out while the process
+was held up.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from functools import wraps
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from .. import interface as ours
 from ..engine import Engine
 from ..interface import Appliance, Dispatch, Invocation, Operation, Outcome, Stage, Tally, Throttle
 from .appliance_list import ApplianceList, ListEntry
 
-Headers = Sequence[tuple[bytes, bytes]]  # of an answer, whatever it came by
+if TYPE_CHECKING:
+    from ..fleet.key_journal import RecoveredKeys
+
+Headers = Sequence[tuple[bytes, bytes]]  # of an answer, in any protocol
+Answer = tuple[Headers, list[bytes], Headers]  # headers, pieces of the body, trailers
 
 
 class Call(Protocol):
-    """The client's side of one invocation."""
+    """The client's side of one invocation; exactly one of its methods is called, once."""
+
+    def succeed(self, head: Headers, body: list[bytes], tail: Headers) -> None:
+        """Passes an appliance's answer on."""
 
-    def succeed(self, head: Headers, body: list[bytes], tail: Headers) -> None: ...
-    def throttle(self, retry_after: int) -> None: ...
-    def terminate(self) -> None: ...
+    def throttle(self, retry_after: int) -> None:
+        """Answers that trying again is harmless, after so many microseconds; 0 gives no advice."""
+
+    def terminate(self) -> None:
+        """Answers without any promise about the effect."""
 
 
 class Attempt(Protocol):
     """The appliance's side of one dispatch."""
 
     def abandon(self, late: bool) -> None:
-        """Stop waiting for its answer; late: because its time is up."""
+        """Stops waiting for the answer.
+
+        Args:
+            late: Whether this is because the dispatch has timed out.
+        """
 
 
 class Environment(Protocol):
-    """What the seat needs of its surroundings."""
+    """What carries the actions of the decisions out: a daemon, or a test in its place."""
+
+    def now(self) -> int:
+        """Returns the time in microseconds."""
+
+    def schedule_alarm(self, due: int) -> None:
+        """Has `EngineHost.run_timers` called at this time."""
+
+    def run_soon(self, do: Callable[[], None]) -> None:
+        """Calls a function in the next turn of the event loop."""
+
+    def start(self, dispatch: Dispatch, call: Call) -> Attempt:
+        """Sends a client's call to an appliance."""
+
+    def probe(self, appliance: Appliance) -> None:
+        """Sends a health check; `EngineHost.probe_ended` reports the result."""
+
+    def vote(self, build: int, stage: int, verdict: str) -> None:
+        """Casts a vote; `EngineHost.apply_stage` reports the answer."""
+
+    def subscribe(self) -> None:
+        """Starts to watch the list of appliances."""
+
+    def fetch_list(self) -> None:
+        """Asks for the list of appliances once."""
+
+    def message(self, to: int | None, figures: list[int]) -> None:
+        """Sends figures to another agent, or to all of them if `to` is None."""
+
+    def log_event(self, event: str, **facts: Any) -> None:
+        """Logs an event with its fields."""
 
-    def now(self) -> int: ...
-    def schedule_alarm(self, due: int) -> None: ...
-    def run_soon(self, do: Callable[[], None]) -> None: ...
-    def start(self, dispatch: Dispatch, call: Call) -> Attempt: ...
-    def probe(self, appliance: Appliance) -> None: ...
-    def vote(self, build: int, stage: int, verdict: str) -> None: ...
-    def subscribe(self) -> None: ...
-    def fetch_list(self) -> None: ...
-    def message(self, to: int | None, figures: list[int]) -> None: ...
-    def log_event(self, event: str, **facts: Any) -> None: ...
 
+def answers_broken_invocations(method: Callable[..., Any]) -> Callable[..., Any]:
+    """Answers the invocations whose processing an exception in the program has broken off.
 
-def answering(method: Callable[..., Any]) -> Callable[..., Any]:
-    """Guards against faults of ours: they are raised as they were, but whoever they have broken off is answered first."""
+    The exception is raised on as it was, after those invocations have been terminated.
+    """
 
     @wraps(method)
-    def entered(self: EngineHost, *arguments: Any, **more: Any) -> Any:
+    def guarded(self: EngineHost, *arguments: Any, **more: Any) -> Any:
         try:
             return method(self, *arguments, **more)
         except Exception:
@@ -62,11 +100,22 @@
                 self.terminate(invocation)
             raise
 
-    return entered
+    return guarded
 
 
 class EngineHost:
-    """One instance. known: the plain map of settings, with its operations."""
+    """Hosts one instance of the decisions.
+
+    Attributes:
+        environment: Carries the actions out.
+        settings: The settings map of the decisions, with the operations.
+        operations: The operations by name.
+        appliance_list: The appliances as the registry has listed them.
+        calls: The invocations that have not been answered yet, with their clients' calls.
+        attempts: The dispatches that are out.
+        lag: For how many microseconds the event in hand was held up on its way here.
+        engine: The engine that runs the decisions.
+    """
 
     def __init__(self, environment: Environment, settings: Mapping[str, Any], seed: int) -> None:
         self.environment = environment
@@ -75,15 +124,16 @@
             operation.name: operation for operation in settings["operations"]
         }
         self.appliance_list = ApplianceList()
-        self.calls: dict[Invocation, Call] = {}  # invocations that are owed an answer
-        self.attempts: dict[Dispatch, Attempt] = {}  # dispatches that are out
-        self.lag = 0  # by how long what is told now was held up before it came here
+        self.calls: dict[Invocation, Call] = {}
+        self.attempts: dict[Dispatch, Attempt] = {}
+        self.lag = 0
         self._count = 0
-        self._word: tuple | None = None  # of the newest build, as last noted
+        self._logged_stage: tuple | None = None  # identity and cap of the stage that was logged last
         self.engine = Engine(environment.now(), seed, settings, self)
 
-    # ---- out: the Door ----
+    # ---- actions of the engine ----
     def dispatch(self, dispatch: Dispatch) -> None:
+        """Starts a dispatch, or reports it as obsolete if it must not go out any more."""
         invocation = dispatch.invocation
         call = self.calls.get(invocation)
         if (
@@ -105,9 +155,10 @@
         )
 
     def cancel(self, dispatch: Dispatch) -> None:
+        """Abandons a dispatch and reports its end."""
         attempt = self.attempts.get(dispatch)
         if attempt is not None:
-            # given up at the very moment at which its own time is up: the alarm was only the first to tell
+            # cancelled exactly when its own timeout ends: the engine's timer merely ran before the attempt's
             late = self.engine.now >= dispatch.sent + dispatch.timeout > dispatch.sent
             attempt.abandon(late)
             self.environment.run_soon(
@@ -115,9 +166,11 @@
             )
 
     def throttle(self, invocation: Invocation, retry_after: int) -> None:
+        """Gives the client the final answer `throttled`."""
         self._answer(invocation, "throttled", lambda call: call.throttle(retry_after))
 
     def terminate(self, invocation: Invocation) -> None:
+        """Gives the client the final answer `terminated`."""
         self._answer(invocation, "terminated", lambda call: call.terminate())
 
     def _answer(self, invocation: Invocation, how: str, give: Callable[[Call], None]) -> None:
@@ -134,51 +187,58 @@
             )
 
     def set_timer(self, due: int) -> None:
+        """Has `run_timers` called at this time."""
         self.environment.schedule_alarm(due)
 
     def log(self, text: str) -> None:
+        """Logs a line of the decisions."""
         self.environment.log_event("decision", text=text)
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
+        """Casts a vote."""
         self.environment.vote(build, stage, verdict)
 
     def subscribe(self) -> None:
+        """Starts to watch the list of appliances."""
         self.environment.subscribe()
 
     def fetch_list(self) -> None:
+        """Asks for the list of appliances once."""
         self.environment.fetch_list()
 
     def probe(self, appliance: Appliance) -> None:
+        """Sends a health check to an appliance."""
         self.environment.probe(appliance)
 
     def message(self, to: int | None, figures: list[int]) -> None:
+        """Sends figures to another agent, or to all of them if `to` is None."""
         self.environment.message(to, figures)
 
-    # ---- a life before this one ----
+    # ---- keys bound to builds ----
     def binds_key(self, appliance: Appliance) -> bool:
-        """Whether a dispatch to it may bind its key."""
+        """Whether a dispatch to this appliance may bind the invocation's key to its build."""
         return self.settings["one_way"] and self.engine.agent.binds_key(appliance)
 
-    def restore(self, recalled: Any) -> None:
-        """bound, forgot and spent, as fleet/key_journal.py has them."""
-        self.engine.agent.restore(recalled.bound, bool(recalled.forgot), recalled.spent)
+    def restore(self, recovered: RecoveredKeys) -> None:
+        """Gives the decisions the bound keys that an earlier process of this agent has written down."""
+        self.engine.agent.restore(recovered.bound, bool(recovered.forgot), recovered.spent)
 
-    # ---- in ----
+    # ---- events ----
     def catch_up(self) -> None:
-        """The present moment; what is overdue comes before any news."""
+        """Advances the engine to the present and runs overdue timers, before an event is handled."""
         now = max(self.environment.now(), self.engine.now)
         self.engine.advance_to(now)
         self.engine.run_overdue_timers()
-        if self.lag > self.engine.lag:
-            self.engine.lag = self.lag
+        self.engine.lag = max(self.engine.lag, self.lag)
 
-    @answering
+    @answers_broken_invocations
     def run_timers(self) -> None:
+        """Runs the engine's timers that are due."""
         self.engine.advance_to(max(self.environment.now(), self.engine.now))
         self.engine.run_timers()
         self.engine.resume_woken()
 
-    @answering
+    @answers_broken_invocations
     def accept(
         self,
         call: Call,
@@ -188,7 +248,16 @@
         invocation_id: int | None = None,
         **facts: Any,
     ) -> Invocation:
-        """A whole call has come in; limit: how long after `arrived` its client waits; ident: where it has one."""
+        """Takes a call that has arrived completely.
+
+        Args:
+            call: The client's side.
+            operation: What the client asks for.
+            arrived: When the call arrived, in microseconds.
+            limit: How long the client waits from then on, in microseconds.
+            invocation_id: The invocation's id, if it has one already.
+            facts: Further fields of the invocation.
+        """
         self.catch_up()
         self._count += 1
         invocation = Invocation(
@@ -203,9 +272,9 @@
         self.engine.resume_woken()
         return invocation
 
-    @answering
+    @answers_broken_invocations
     def client_left(self, invocation: Invocation) -> None:
-        """The client has gone; nothing is owed."""
+        """Ends an invocation whose client has disconnected; it gets no answer."""
         if self.calls.pop(invocation, None) is not None:
             self.catch_up()
             self.environment.log_event("left", invocation=invocation.id)
@@ -213,68 +282,100 @@
             self.engine.resume_woken()
 
     def may_send(self, dispatch: Dispatch) -> bool:
-        """A dispatch has its connection at last; False: it must not go out any more."""
+        """Whether a dispatch that had to wait for a connection may still go out."""
         if dispatch.result is not None or dispatch.invocation not in self.calls:
             return False
         self.catch_up()
         return self.engine.may_send(dispatch)
 
     def claim_answer(self, dispatch: Dispatch) -> bool:
-        """The dispatch's answer starts to be passed on; False: another one has been before it."""
+        """Marks the answer of this dispatch as the one that is passed on, from its first bytes.
+
+        Returns:
+            False if the answer of another dispatch is passed on, or the invocation has been answered.
+        """
         invocation = dispatch.invocation
         if invocation not in self.calls or invocation.streaming:
             return False
         invocation.streaming = True
         return True
 
-    @answering
+    @answers_broken_invocations
     def dispatch_ended(
         self,
         dispatch: Dispatch,
-        how: str,
+        result: str,
         load: Mapping[str, float] | None = None,
-        answer: tuple[Headers, list[bytes], Headers] | None = None,
+        answer: Answer | None = None,
         passed: bool = False,
     ) -> None:
-        """A dispatch has ended. answer: what succeeded, to be passed on; passed: it was already being."""
+        """Handles the end of a dispatch.
+
+        Args:
+            dispatch: The dispatch.
+            result: How it ended; one of the constants in `interface`.
+            load: The appliance's load report, if there is one.
+            answer: The answer to pass on, if the dispatch succeeded.
+            passed: Whether a part of the answer has already been passed on.
+        """
         if dispatch.result is not None:
             return
         self.attempts.pop(dispatch, None)
         self.catch_up()
         invocation = dispatch.invocation
-        if how == ours.SUCCEEDED and (answer is not None or passed):
+        if result == ours.SUCCEEDED and (answer is not None or passed):
             self._answer(invocation, "succeeded", lambda call: call.succeed(*(answer or ((), [], ()))))
         elif passed:
             self._answer(invocation, "terminated", lambda call: call.terminate())
         self.engine.dispatch_ended(
-            Outcome(dispatch, how, self.engine.now - dispatch.sent, invocation not in self.calls, load)
+            Outcome(dispatch, result, self.engine.now - dispatch.sent, invocation not in self.calls, load)
         )
         self.engine.resume_woken()
         if invocation.generator is None and all(d.result is not None for d in invocation.dispatches):
-            invocation.dispatches = []  # each knows its invocation: no cycle is left to the collector
+            invocation.dispatches = []  # breaks the reference cycle between an invocation and its dispatches
 
-    @answering
+    @answers_broken_invocations
     def probe_ended(
         self, appliance: Appliance, answered: bool, took: int, load: Mapping[str, float] | None
     ) -> None:
+        """Handles the end of a probe.
+
+        Args:
+            appliance: The appliance that was probed.
+            answered: Whether it answered that it serves.
+            took: How long that took, in microseconds.
+            load: Its load report, if there is one.
+        """
         self.catch_up()
         self.engine.probe_ended(appliance, answered, took, load)
         self.engine.resume_woken()
 
-    @answering
-    def apply_list(self, how: str, rows: Iterable[ListEntry] = (), waited: int | None = 0) -> list[Appliance]:
-        """how: one of interface.py's; waited: without an answer, how long one was waited for; None if not known."""
+    @answers_broken_invocations
+    def apply_list(
+        self, kind: str, entries: Iterable[ListEntry] = (), waited: int | None = 0
+    ) -> list[Appliance]:
+        """Applies an update of the list of appliances, or reports that there is none.
+
+        Args:
+            kind: What became of the list; one of the constants in `interface`.
+            entries: The entries of the update.
+            waited: Without an answer, for how many microseconds one was waited for; None if that is unknown.
+
+        Returns:
+            The appliances that the update concerns.
+        """
         self.catch_up()
-        told = how in (ours.DELTA, ours.SNAPSHOT, ours.CACHED)
-        changed = self.appliance_list.apply(how != ours.DELTA, rows) if told else []
-        self.engine.agent.on_list(how, changed, waited)
+        has_entries = kind in (ours.DELTA, ours.SNAPSHOT, ours.CACHED)
+        changed = self.appliance_list.apply(kind != ours.DELTA, entries) if has_entries else []
+        self.engine.agent.on_list(kind, changed, waited)
         self.engine.resume_woken()
         return changed
 
-    @answering
+    @answers_broken_invocations
     def apply_stage(self, stage: Stage) -> None:
-        if stage.vote_answer in (None, "ok") and self._word != (stage.identity, stage.cap):
-            self._word = (stage.identity, stage.cap)
+        """Applies a stage of the newest build or the answer to a vote; logs the stage if it is new."""
+        if stage.vote_answer in (None, "ok") and self._logged_stage != (stage.identity, stage.cap):
+            self._logged_stage = (stage.identity, stage.cap)
             self.environment.log_event(
                 "stage", build=stage.build, stage=stage.number, phase=stage.phase, cap=stage.cap
             )
@@ -282,14 +383,22 @@
         self.engine.agent.on_stage(stage)
         self.engine.resume_woken()
 
-    @answering
+    @answers_broken_invocations
     def apply_tally(self, tally: Tally) -> None:
+        """Applies the counts of a build's answers that the conveyor reports."""
         self.catch_up()
         self.engine.agent.on_tally(tally)
         self.engine.resume_woken()
 
-    @answering
+    @answers_broken_invocations
     def apply_flag(self, operation: str, appliance: str, age: int) -> None:
+        """Applies the conveyor's report that an operation failed at an appliance.
+
+        Args:
+            operation: The operation's name; an unknown one is ignored.
+            appliance: The appliance's id; an unknown one is ignored.
+            age: How old the report is, in microseconds.
+        """
         self.catch_up()
         if operation in self.operations and appliance in self.appliance_list.appliances:
             self.engine.agent.on_flag(
@@ -297,14 +406,15 @@
             )
         self.engine.resume_woken()
 
-    @answering
+    @answers_broken_invocations
     def receive_message(self, sender: int, figures: list[int]) -> None:
+        """Takes figures that another agent has sent."""
         self.catch_up()
         self.engine.agent.on_message(sender, figures)
         self.engine.resume_woken()
 
     def give_up_all(self) -> None:
-        """The process ends now: what is owed is answered as the decisions say."""
+        """Answers every open invocation as the decisions require, because the process ends now."""
         self.catch_up()
         for invocation in list(self.calls):
             match self.engine.agent.give_up(invocation):
--- a/cartweir/hosting/platform_settings.py
+++ b/cartweir/hosting/platform_settings.py
@@ -1,8 +1,12 @@
-"""The platform's settings object as the plain map of our names: the simulator's first message to an instance and a real
-agent's configuration hold the same one. No decision, no value of our own but what an absence means."""
+"""Parses the platform's settings object into the settings map of the decisions.
+
+The simulator's first message to an instance and the configuration of a real agent hold the same object. This
+module makes no decision and sets no value of its own, except what an absent setting means.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 from .. import interface as ours
@@ -20,7 +24,8 @@
 }
 SCOPES = {"all": "all", "zone": "zone", "cell": "cell"}
 REPORTS = {"inline": "answers", "on_probe": "probe", "off": "none"}
-# Our name of a setting -> where the wire keeps it, its kind, and what its absence means.
+MAX_NUMBER = 1e15  # a larger value counts as a mistake
+# Name of a setting -> its path in the platform's object, its kind, and its value if it is absent.
 SETTINGS: dict[str, tuple[str, str, Any]] = {
     "agents": ("balancers", "some number", 1),
     "me": ("me", "number", 0),
@@ -78,51 +83,88 @@
 
 
 class SettingError(ValueError):
-    """Place, reason, and what would be right."""
+    """A setting that is wrong; the message has its path, its value and what is expected."""
 
 
-def _wrong(place: str, value: Any, due: str) -> SettingError:
-    return SettingError(f"{place}: {str(value)[:60]!r}; {due} is due")
+def _wrong(path: str, value: Any, expected: str) -> SettingError:
+    return SettingError(f"{path}: {str(value)[:60]!r}; expected {expected}")
 
 
-def _number(value: Any, place: str, due: str = "a number of at least 0") -> Any:
-    if type(value) not in (int, float) or not 0 <= value < 1e15:
-        raise _wrong(place, value, due)
+def _number(value: Any, path: str, expected: str = "a number of at least 0") -> Any:
+    if type(value) not in (int, float) or not 0 <= value < MAX_NUMBER:
+        raise _wrong(path, value, expected)
     return value
 
 
-def _time(milliseconds: Any, place: str) -> int:
-    return round(float(_number(milliseconds, place, "a time in milliseconds")) * 1000)
+def _time(milliseconds: Any, path: str) -> int:
+    """Returns microseconds."""
+    return round(float(_number(milliseconds, path, "a time in milliseconds")) * 1000)
+
+
+def _one_of(value: Any, meanings: dict[str, Any], path: str) -> Any:
+    if not isinstance(value, str) or value not in meanings:
+        raise _wrong(path, value, f"one of {', '.join(meanings)}")
+    return meanings[value]
+
+
+def _flag(value: Any, path: str) -> bool:
+    if type(value) not in (bool, int):
+        raise _wrong(path, value, "true or false")
+    return bool(value)
+
+
+def _text(value: Any, path: str) -> str:
+    if not isinstance(value, str):
+        raise _wrong(path, value, "a string")
+    return value
 
 
-def _one_of(value: Any, words: dict[str, Any], place: str) -> Any:
-    if not isinstance(value, str) or value not in words:
-        raise _wrong(place, value, f"one of {', '.join(words)}")
-    return words[value]
+def _shares(value: Any, path: str) -> tuple[float, ...]:
+    if not isinstance(value, (list, tuple)):
+        raise _wrong(path, value, "a list of shares")
+    return tuple(float(_number(item, f"{path}[{index}]")) for index, item in enumerate(value))
 
 
-def _object(value: Any, place: str) -> dict[str, Any]:
+def _object(value: Any, path: str) -> dict[str, Any]:
     if value is not None and not isinstance(value, dict):
-        raise _wrong(place, value, "an object")
+        raise _wrong(path, value, "an object")
     return value or {}
 
 
 def _rows(params: dict[str, Any], name: str) -> list[tuple[str, dict[str, Any]]]:
-    """The rows of a list of named objects, with their places."""
+    """Returns the objects of a list of named objects, each with its path."""
     rows = params.get(name)
     if rows is not None and not isinstance(rows, (list, tuple)):
         raise _wrong(name, rows, "a list of objects")
     found, names = [], set()
-    for number, row in enumerate(rows or ()):
-        place = f"{name}[{number}]"
-        word = row.get("name") if isinstance(row, dict) else None
-        if not isinstance(word, str) or not word or word in names:
-            raise _wrong(f"{place}.name", word, "a name that no other has")
-        names.add(word)
-        found.append((place, row))
+    for index, row in enumerate(rows or ()):
+        path = f"{name}[{index}]"
+        row_name = row.get("name") if isinstance(row, dict) else None
+        if not isinstance(row_name, str) or not row_name or row_name in names:
+            raise _wrong(f"{path}.name", row_name, "a name that no other has")
+        names.add(row_name)
+        found.append((path, row))
     return found
 
 
+_CHOICES = {
+    "control": CONTROLS,
+    "per": {"all": False, "each_class": True},
+    "style": {"parallel": False, "replace": True},
+}
+_PARSERS: dict[str, Callable[[Any, str], Any]] = {
+    "time": _time,
+    "some time": _time,
+    "number": _number,
+    "some number": _number,
+    "flag": _flag,
+    "list": _shares,
+    "text": _text,
+}
+# Kinds for which a value of 0 can only mean that none is given.
+_ABSENT_IF_ZERO = frozenset(("some time", "some number"))
+
+
 def _setting(params: dict[str, Any], path: str, kind: str, absent: Any) -> Any:
     value, place = params, ""
     for step in path.split("."):
@@ -130,60 +172,45 @@
         place = f"{place}.{step}" if place else step
     if value is None:
         return absent
-    match kind:
-        case "time":
-            return _time(value, path)
-        case "some time":  # of which 0 could only mean that none is given
-            return _time(value, path) or absent
-        case "number":
-            return _number(value, path)
-        case "some number":
-            return _number(value, path) or absent
-        case "flag":
-            if type(value) not in (bool, int):
-                raise _wrong(path, value, "true or false")
-            return bool(value)
-        case "list":
-            if not isinstance(value, (list, tuple)):
-                raise _wrong(path, value, "a list of shares")
-            return tuple(float(_number(item, f"{path}[{place}]")) for place, item in enumerate(value))
-        case "control":
-            return _one_of(value, CONTROLS, path)
-        case "per":
-            return _one_of(value, {"all": False, "each_class": True}, path)
-        case "style":
-            return _one_of(value, {"parallel": False, "replace": True}, path)
-    if not isinstance(value, str):
-        raise _wrong(path, value, "a word")
-    return value
+    if kind in _CHOICES:
+        return _one_of(value, _CHOICES[kind], path)
+    parsed = _PARSERS[kind](value, path)
+    return parsed or absent if kind in _ABSENT_IF_ZERO else parsed
 
 
-def _operation(row: dict[str, Any], place: str) -> Operation:
-    def of(name: str, absent: Any) -> Any:
+def _operation(row: dict[str, Any], path: str) -> Operation:
+    def field(name: str, absent: Any) -> Any:
         value = row.get(name)
         return absent if value is None else value
 
-    limit = _time(of("hardLimit", 0), f"{place}.hardLimit")
+    limit = _time(field("hardLimit", 0), f"{path}.hardLimit")
     return Operation(
         name=row["name"],
-        effect=_one_of(of("effect", "fragile"), EFFECTS, f"{place}.effect"),
-        group=_one_of(of("dedupScope", "cell"), SCOPES, f"{place}.dedupScope"),
-        window=_time(of("window", 0), f"{place}.window"),
-        slo_time=_time(of("aim", 0), f"{place}.aim") or limit,
+        effect=_one_of(field("effect", "fragile"), EFFECTS, f"{path}.effect"),
+        group=_one_of(field("dedupScope", "cell"), SCOPES, f"{path}.dedupScope"),
+        window=_time(field("window", 0), f"{path}.window"),
+        slo_time=_time(field("aim", 0), f"{path}.aim") or limit,
         time_limit=limit,
-        billed_value=float(_number(of("worth", 1), f"{place}.worth")),
-        late_value=float(_number(of("lateValue", 0), f"{place}.lateValue")),
-        stream=bool(of("stream", False)),
+        billed_value=float(_number(field("worth", 1), f"{path}.worth")),
+        late_value=float(_number(field("lateValue", 0), f"{path}.lateValue")),
+        stream=bool(field("stream", False)),
     )
 
 
 def parse_settings(params: dict[str, Any]) -> dict[str, Any]:
-    """The settings as a plain map of our names to values. Raises SettingError."""
+    """Returns the settings map of the decisions.
+
+    Args:
+        params: The platform's settings object.
+
+    Raises:
+        SettingError: A setting has a wrong value.
+    """
     settings = {name: _setting(params, *where) for name, where in SETTINGS.items()}
-    settings["operations"] = tuple(_operation(row, place) for place, row in _rows(params, "classes"))
+    settings["operations"] = tuple(_operation(row, path) for path, row in _rows(params, "classes"))
     settings["quotas"] = {
-        row["name"]: float(_number(row.get("quotaRps") or 0, f"{place}.quotaRps"))
-        for place, row in _rows(params, "parties")
+        row["name"]: float(_number(row.get("quotaRps") or 0, f"{path}.quotaRps"))
+        for path, row in _rows(params, "parties")
     }
     zones = params.get("failureDomains") or ()
     if not isinstance(zones, (list, tuple)):
--- a/cartweir/hosting/pools.py
+++ b/cartweir/hosting/pools.py
@@ -1,4 +1,4 @@
-"""Which connections lead to which appliance, whatever is spoken on them."""
+"""Maps appliances to their connection pools, whatever protocol the connections speak."""
 
 from __future__ import annotations
 
@@ -9,19 +9,24 @@
 
 
 class ConnectionPool(Protocol):
-    """Connections to one address."""
+    """The connections to one address."""
 
     address: str
 
     def retire(self) -> None:
-        """They end once they carry nothing."""
+        """Closes each connection once it carries nothing."""
 
 
 P = TypeVar("P", bound=ConnectionPool)
 
 
 class ConnectionPools(Generic[P]):
-    """One for each appliance that was dispatched to; `addresses` is what the news says, by ident."""
+    """One connection pool for each appliance that was dispatched to.
+
+    Attributes:
+        pools: The pool of each appliance.
+        addresses: The address of each appliance by its id, as the list of appliances gives it.
+    """
 
     def __init__(self, make: Callable[[str], P]) -> None:
         self._make = make
@@ -29,16 +34,21 @@
         self.addresses: dict[str, str] = {}
 
     def retire_gone(self, changed: list[Appliance]) -> None:
-        """Those that are gone lose their connections once they carry nothing, and their address."""
-        standing = {appliance.id for appliance in changed if appliance.state != GONE}
+        """Retires the pools of appliances that are gone, and forgets their addresses.
+
+        Args:
+            changed: The appliances that an update of the list concerns.
+        """
+        present = {appliance.id for appliance in changed if appliance.state != GONE}
         for appliance in changed:
             if appliance.state == GONE:
                 if (pool := self.pools.pop(appliance, None)) is not None:
                     pool.retire()
-                if appliance.id not in standing:
+                if appliance.id not in present:
                     self.addresses.pop(appliance.id, None)
 
     def pool(self, appliance: Appliance) -> P:
+        """Returns the pool of an appliance; a new one if there is none or its address has changed."""
         pool, address = self.pools.get(appliance), self.addresses.get(appliance.id, "")
         if pool is None or pool.address != address:
             if pool is not None:
--- a/cartweir/hosting/tcp.py
+++ b/cartweir/hosting/tcp.py
@@ -1,9 +1,13 @@
-"""TCP on the loop, below any protocol: Tornado's streams made with a time-out, and bare sockets for whoever must know how
-much of what it wrote the kernel has taken."""
+"""TCP on the event loop, below any protocol.
+
+Tornado's streams connected with a timeout, and bare sockets for protocols that must know how much of what
+they wrote the kernel has taken.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import socket
 from collections.abc import Callable, Coroutine
@@ -12,12 +16,16 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-READ_SIZE = 64 * 1024  # read at a time
+READ_SIZE = 64 * 1024  # bytes read at a time
+MAX_PORT = 65_535
 
 
 class ReadOnReadyStream(IOStream):
-    """Reads when it is told that there is something. Tornado's own first tries, and a link that has just dealt with all
-    there was would find its socket empty each time: one system call in two."""
+    """A stream that reads only when the loop reports that there is data.
+
+    Tornado's own stream first tries to read. A connection that has just handled all its data would find its
+    socket empty each time, which is one system call in two.
+    """
 
     def _try_inline_read(self) -> None:
         found = self._find_read_pos()
@@ -29,12 +37,23 @@
 
 
 async def connect(host: str, port: int, timeout: int) -> IOStream:
-    """A connected stream within so many microseconds. Raises OSError or StreamClosedError's cause as OSError."""
+    """Returns a connected stream.
+
+    Args:
+        host: An IP address or a name.
+        port: The port.
+        timeout: How long connecting may take, in microseconds.
+
+    Raises:
+        OSError: There is no connection; the cause of a StreamClosedError is raised as one, too.
+    """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     stream = ReadOnReadyStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=4 * READ_SIZE)
     try:
         await asyncio.wait_for(stream.connect((host, port)), timeout / 1e6)
-    except asyncio.CancelledError:  # the loop would hold on to it for as long as nobody answers there
+    except (
+        asyncio.CancelledError
+    ):  # the loop would keep the socket for as long as the other side does not answer
         stream.close()
         raise
     except StreamClosedError as error:
@@ -43,45 +62,62 @@
             if isinstance(error.real_error, OSError)
             else OSError(errno.ECONNABORTED, "connection closed")
         ) from None
-    except (asyncio.TimeoutError, TimeoutError):
+    except TimeoutError:
         stream.close()
         raise OSError(errno.ETIMEDOUT, f"no connection within {timeout / 1000:.0f} ms") from None
     return stream
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """host:port, or [host]:port. Raises ValueError with what would be right."""
+    """Returns the host and the port of `host:port` or `[host]:port`.
+
+    Raises:
+        ValueError: The text is no address; the message says what is expected.
+    """
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"{text!r}: host:port is due, such as 127.0.0.1:7100")
+    if not colon or not host or not port.isdigit() or int(port) > MAX_PORT:
+        raise ValueError(f"{text!r}: expected host:port, such as 127.0.0.1:7100")
     return host.strip("[]"), int(port)
 
 
 class SocketOwner(Protocol):
-    def on_data(self, data: bytes) -> None: ...
-    def on_lost(self, why: str) -> None: ...
+    """Handles the events of a `NonBlockingSocket`."""
+
+    def on_data(self, data: bytes) -> None:
+        """Handles data that has arrived."""
+
+    def on_lost(self, why: str) -> None:
+        """Handles the end of the connection."""
+
     def on_sent(self) -> None:
-        """The kernel has taken what it had not taken at once."""
+        """Handles that the kernel has taken the rest of what it could not take at once."""
 
 
 class NonBlockingSocket:
-    """A connected, non-blocking socket on the loop, for protocols that must know what has left: a stream of Tornado's
-    does not tell a write that the kernel took whole from one that it took in part, and cannot end its sending alone."""
+    """A connected, non-blocking socket on the event loop, for protocols that must know what has been sent.
+
+    A stream of Tornado's does not tell a write that the kernel took whole from one that it took in part, and
+    cannot close its sending side alone.
 
-    __slots__ = ("loop", "socket", "owner", "_fd", "_unsent", "closed")
+    Attributes:
+        loop: The event loop.
+        socket: The socket.
+        owner: Handles its events.
+        closed: Whether it has been closed.
+    """
+
+    __slots__ = ("_fd", "_unsent", "closed", "loop", "owner", "socket")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, owner: SocketOwner) -> None:
         self.loop, self.socket, self.owner = loop, sock, owner
         self._fd, self._unsent, self.closed = sock.fileno(), b"", False
-        try:
+        with contextlib.suppress(OSError):  # the connection has broken already: the reader will notice
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:
-            pass  # it broke off already: the reader hears of it
         loop.add_reader(self._fd, self._readable)
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """The number of bytes that the kernel has not taken yet."""
         return len(self._unsent)
 
     def _readable(self) -> None:
@@ -98,7 +134,7 @@
             self.owner.on_lost("closed by the other side")
 
     def nothing_to_read(self) -> bool:
-        """Nothing has come, not even an end, that the loop has not had the time to tell."""
+        """Whether neither data nor the end of the connection waits for the loop to report it."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -108,7 +144,7 @@
         return False
 
     def at_end(self) -> bool:
-        """The other side has ended it, and all that it said before has been told."""
+        """Whether the other side has closed the connection, and all its data has been handled."""
         try:
             return not self.socket.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -117,7 +153,11 @@
             return True
 
     def write(self, data: bytes) -> None:
-        """Raises OSError where the kernel takes nothing any more."""
+        """Sends data; what the kernel does not take at once is sent later.
+
+        Raises:
+            OSError: The connection has ended.
+        """
         if self._unsent:
             self._unsent += data
             return
@@ -142,13 +182,12 @@
             self.owner.on_sent()
 
     def shutdown_write(self) -> None:
-        """Ends our sending, and goes on reading."""
-        try:
+        """Closes the sending side, and goes on reading."""
+        with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
-        except OSError:
-            pass
 
     def close(self) -> None:
+        """Closes the socket; the owner gets no more events."""
         if not self.closed:
             self.closed = True
             self.loop.remove_reader(self._fd)
@@ -158,7 +197,14 @@
 
 
 class PendingConnection:
-    """A connection being made. `done` is told the connected socket, or None and why there is none."""
+    """A connection that is being made.
+
+    Args:
+        loop: The event loop.
+        address: The address, as `host:port`.
+        timeout: How long connecting may take, in microseconds.
+        done: Called with the connected socket, or with None and the reason.
+    """
 
     def __init__(
         self,
@@ -175,21 +221,21 @@
                 socket.SOCK_STREAM | socket.SOCK_NONBLOCK,
             )
             error = sock.connect_ex(target)
-        except (OSError, ValueError) as fault:
-            why = str(getattr(fault, "strerror", None) or fault)
-            loop.call_soon(lambda: self._tell(None, why))
+        except (OSError, ValueError) as failure:
+            why = str(getattr(failure, "strerror", None) or failure)
+            loop.call_soon(lambda: self._finish(None, why))
             return
         if error not in (0, errno.EINPROGRESS):
-            loop.call_soon(lambda: self._tell(None, errno.errorcode.get(error, str(error))))
+            loop.call_soon(lambda: self._finish(None, errno.errorcode.get(error, str(error))))
             return
         loop.add_writer(sock.fileno(), self._ready)
-        self._timer = loop.call_later(timeout / 1e6, lambda: self._tell(None, "no connection in time"))
+        self._timer = loop.call_later(timeout / 1e6, lambda: self._finish(None, "no connection in time"))
 
     def _ready(self) -> None:
         error = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self._tell(None if error else self._socket, errno.errorcode.get(error, str(error)))
+        self._finish(None if error else self._socket, errno.errorcode.get(error, str(error)))
 
-    def _tell(self, sock: socket.socket | None, why: str) -> None:
+    def _finish(self, sock: socket.socket | None, why: str) -> None:
         done, self._done = self._done, None
         if done is None:
             return
@@ -202,17 +248,17 @@
         done(sock, why)
 
     def cancel(self) -> None:
-        """It is no longer wanted; nobody is told."""
+        """Gives the connection up without calling `done`."""
         if self._done is not None:
             self._done = lambda sock, why: None
-            self._tell(None, "")
+            self._finish(None, "")
 
 
 _running: set[asyncio.Task] = set()
 
 
 def spawn(work: Coroutine) -> asyncio.Task:
-    """A task that is kept until it has ended: the loop itself holds tasks but weakly."""
+    """Starts a task and keeps a reference until it has ended; the event loop holds only a weak one."""
     task = asyncio.ensure_future(work)
     _running.add(task)
     task.add_done_callback(_running.discard)
