--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,5 +1,7 @@
-"""The other sides of an agent under test: scripted appliances and clients on h2 itself, which share no code with
-the program's HTTP/2, and an agent in this process or in one of its own."""
+"""The other sides of an agent under test, and the agent in this process or in one of its own.
+
+The appliances and clients are scripted. They use h2 itself and share no code with the program's HTTP/2.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +13,9 @@
 import struct
 import sys
 from collections.abc import AsyncIterator, Callable
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, ClassVar
 
 from h2.config import H2Configuration
 from h2.connection import H2Connection
@@ -35,6 +38,9 @@
 from cartweir.standin.registry import Registry
 
 ROOT = Path(__file__).parents[1]
+DEFAULT_WINDOW = 65_535  # bytes, HTTP/2's initial window
+READ_SIZE = 65_536
+CANCEL = 8  # HTTP/2's error code
 SETTINGS = """
 [agent]
 listen = 127.0.0.1:0
@@ -92,27 +98,33 @@
 
 
 def framed(message: bytes) -> bytes:
+    """Returns a message with gRPC's prefix."""
     return struct.pack(">BI", 0, len(message)) + message
 
 
+@dataclass(eq=False)
 class Peer:
-    """One h2 connection over asyncio streams, either end; `heard` tells everything in order."""
-
-    def __init__(
-        self,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-        client: bool,
-        on_event: Callable[[Peer, Any], None],
-        window: int = 65_535,
-        grant: bool = True,
-    ) -> None:
-        self.reader, self.writer, self.on_event, self.grant = reader, writer, on_event, grant
-        self.h2 = H2Connection(H2Configuration(client_side=client, header_encoding="utf-8"))
+    """One h2 connection over asyncio streams, either end; `on_event` is called with every event in order.
+
+    Attributes:
+        window: The initial window of its streams, in bytes.
+        grant: Whether received data is acknowledged, which lets the other side send more.
+    """
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    client: bool
+    on_event: Callable[[Peer, Any], None]
+    window: int = DEFAULT_WINDOW
+    grant: bool = True
+
+    def __post_init__(self) -> None:
+        self.h2 = H2Connection(H2Configuration(client_side=self.client, header_encoding="utf-8"))
         self.h2.initiate_connection()
-        if window != 65_535:
-            self.h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: window})
-        self.room = asyncio.Event()
+        if self.window != DEFAULT_WINDOW:
+            self.h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: self.window})
+        self.sent = 0  # bytes of the body that is being sent
+        self.window_grew = asyncio.Event()
         self.closed = asyncio.Event()
         self.write()
         self.task = asyncio.ensure_future(self._read())
@@ -122,23 +134,23 @@
 
     async def _read(self) -> None:
         with contextlib.suppress(ConnectionError, ProtocolError):
-            while data := await self.reader.read(65_536):
+            while data := await self.reader.read(READ_SIZE):
                 for event in self.h2.receive_data(data):
                     if isinstance(event, DataReceived) and self.grant and event.flow_controlled_length:
                         with contextlib.suppress(ProtocolError):
                             self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
                     if isinstance(event, WindowUpdated):
-                        self.room.set()
+                        self.window_grew.set()
                     self.on_event(self, event)
                 self.write()
         self.closed.set()
 
     async def send_all(self, stream: int, data: bytes) -> int:
-        """As the windows allow, until all is out or the stream is gone; returns how much went."""
+        """Sends as the windows allow, until all is sent or the stream has ended; returns the bytes sent."""
         sent = 0
         with contextlib.suppress(ProtocolError, ConnectionError, KeyError):
             while sent < len(data):
-                self.room.clear()
+                self.window_grew.clear()
                 size = min(
                     self.h2.local_flow_control_window(stream),
                     self.h2.max_outbound_frame_size,
@@ -146,7 +158,7 @@
                 )
                 if size <= 0:
                     self.write()
-                    await self.room.wait()
+                    await self.window_grew.wait()
                     continue
                 self.h2.send_data(stream, data[sent : sent + size])
                 sent += size
@@ -154,11 +166,12 @@
         self.write()
         return sent
 
-    sent = 0
-
 
 class Appliance:
-    """Listens; each whole request is shown to act(appliance, peer, stream, number), number counting from 0."""
+    """A scripted appliance: each whole request is passed to `act(appliance, peer, stream, number)`.
+
+    `number` counts the requests from 0.
+    """
 
     def __init__(self, act: Callable[..., Any]) -> None:
         self.act = act
@@ -172,7 +185,7 @@
 
     async def listen(self) -> str:
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
-        return "127.0.0.1:%d" % self.server.sockets[0].getsockname()[1]
+        return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.act is garbage:
@@ -205,7 +218,7 @@
             peer.task.cancel()
 
 
-# ---- what appliances do ----
+# ---- scripts of appliances ----
 def head(peer: Peer, stream: int) -> None:
     peer.h2.send_headers(stream, [(":status", "200"), ("content-type", "application/grpc")])
 
@@ -214,13 +227,13 @@
     peer.h2.send_headers(stream, [("grpc-status", status), *more], end_stream=True)
 
 
-def answer(who: Appliance, peer: Peer, stream: int, number: int) -> None:
+def answer(appliance: Appliance, peer: Peer, stream: int, number: int) -> None:
     head(peer, stream)
     peer.h2.send_data(stream, framed(b"fine"))
     tail(peer, stream, "0", ("x-from", "appliance"))
 
 
-def nothing(who: Appliance, peer: Peer, stream: int, number: int) -> None:
+def nothing(appliance: Appliance, peer: Peer, stream: int, number: int) -> None:
     pass
 
 
@@ -229,11 +242,11 @@
 
 
 def deaf(*_: Any) -> None:
-    """Grants no window, so that a large request never ends."""
+    """Acknowledges no data, so that a large request never ends."""
 
 
 def trailers_only(status: str) -> Callable[..., None]:
-    def act(who: Appliance, peer: Peer, stream: int, number: int) -> None:
+    def act(appliance: Appliance, peer: Peer, stream: int, number: int) -> None:
         peer.h2.send_headers(
             stream,
             [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", status)],
@@ -244,7 +257,7 @@
 
 
 def large(size: int) -> Callable[..., Any]:
-    async def act(who: Appliance, peer: Peer, stream: int, number: int) -> None:
+    async def act(appliance: Appliance, peer: Peer, stream: int, number: int) -> None:
         head(peer, stream)
         if await peer.send_all(stream, framed(b"x" * size)) == size + 5:
             tail(peer, stream)
@@ -274,17 +287,19 @@
 
 
 class Client:
-    """A connection to an agent; call() sends one request as it is told, right or wrong."""
+    """A client's connection to an agent; `call` sends one request, valid or not."""
 
     def __init__(self, peer: Peer, calls: dict[int, Answered]) -> None:
         self.peer, self.calls = peer, calls
 
     @classmethod
-    async def connect(cls, address: str, window: int = 65_535, grant: bool = True) -> Client:
+    async def connect(cls, address: str, window: int = DEFAULT_WINDOW, grant: bool = True) -> Client:
         host, port = address.split(":")
         calls: dict[int, Answered] = {}
         reader, writer = await asyncio.open_connection(host, int(port))
-        return cls(Peer(reader, writer, True, lambda peer, event: _note(calls, event), window, grant), calls)
+        return cls(
+            Peer(reader, writer, True, lambda peer, event: _record(calls, event), window, grant), calls
+        )
 
     def call(
         self,
@@ -315,7 +330,7 @@
         return answered
 
     def leave(self, answered: Answered) -> None:
-        self.peer.h2.reset_stream(answered.stream, 8)
+        self.peer.h2.reset_stream(answered.stream, CANCEL)
         self.peer.write()
 
     def close(self) -> None:
@@ -323,7 +338,7 @@
         self.peer.task.cancel()
 
 
-def _note(calls: dict[int, Answered], event: Any) -> None:
+def _record(calls: dict[int, Answered], event: Any) -> None:
     if (
         isinstance(event, ConnectionTerminated) or event.stream_id not in calls
         if hasattr(event, "stream_id")
@@ -345,20 +360,20 @@
 
 # ---- the agent ----
 class Log:
-    """In place of a structlog logger."""
+    """Records events, in place of a structlog logger."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
         self.waiting: list[tuple[str, asyncio.Future]] = []
 
     def __getattr__(self, level: str) -> Callable[..., None]:
-        def say(event: str, **facts: Any) -> None:
+        def record(event: str, **facts: Any) -> None:
             self.lines.append((event, facts))
             for wanted, future in self.waiting:
                 if wanted == event and not future.done():
                     future.set_result(facts)
 
-        return say
+        return record
 
     def of(self, event: str) -> list[dict[str, Any]]:
         return [facts for name, facts in self.lines if name == event]
@@ -370,6 +385,8 @@
 
 
 class Rig:
+    """An agent in this process with its registry, appliances and clients."""
+
     daemon: Daemon
     address: str
 
@@ -420,8 +437,15 @@
     ask: bool = False,
     **more: str,
 ) -> AsyncIterator[Rig]:
-    """An agent with a registry and one appliance an act; without a conveyor unless one is named. ask: the registry's
-    list comes only when the decisions ask for it."""
+    """Runs an agent with a registry and one appliance for each act.
+
+    Args:
+        folder: Holds the settings file.
+        acts: The scripts of the appliances.
+        conveyor: The conveyor's address; by default nothing listens there.
+        ask: Whether the registry's list comes only when the decisions ask for it.
+        more: Lines for sections of the settings.
+    """
     it = Rig()
     address = it.registry.listen_on("127.0.0.1:0") + ("\nmode = ask" if ask else "")
     for act in acts:
@@ -450,11 +474,11 @@
         self.started.append(process)
         self._reader = asyncio.ensure_future(self._read())
 
-    started: list[asyncio.subprocess.Process] = []
+    started: ClassVar[list[asyncio.subprocess.Process]] = []
 
     @classmethod
     def end_all(cls) -> None:
-        """Those that a test that failed has left running."""
+        """Kills the processes that a failed test has left running."""
         for process in cls.started:
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
--- a/tests/test_appliance_list.py
+++ b/tests/test_appliance_list.py
@@ -1,10 +1,10 @@
-"""The list of appliances, without sockets."""
+"""The list of appliances as an agent keeps it, without sockets."""
 
 from cartweir.hosting.appliance_list import SPARE_GONE, ApplianceList, ListEntry
 from cartweir.interface import DRAINING, GONE, READY
 
 
-def test_idents_that_are_always_new_do_not_pile_up():
+def test_ids_that_are_never_used_again_are_forgotten():
     appliance_list = ApplianceList()
     for number in range(5000):
         appliance_list.apply(
@@ -20,10 +20,10 @@
     assert [a.id for a in appliance_list.appliances.values() if a.state == READY] == [
         f"s{n}" for n in range(4996, 5000)
     ]
-    assert f"s{4995 - SPARE_GONE // 2}" in appliance_list.appliances  # who went of late is still known
+    assert f"s{4995 - SPARE_GONE // 2}" in appliance_list.appliances  # one that went recently is kept
 
 
-def test_who_returns_is_the_same_until_it_is_forgotten():
+def test_an_appliance_that_returns_is_the_same_object_unless_it_has_started_anew():
     appliance_list = ApplianceList()
     (first,) = appliance_list.apply(False, [ListEntry("a", 1, run=7)])
     appliance_list.apply(True, [ListEntry("b", 1, run=7)])
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -1,4 +1,4 @@
-"""News that must be asked for, and messages between agents, on sockets."""
+"""Clients of the control plane on sockets: a list that must be asked for, peers' messages, alarms, files."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         assert (await ask(it, ISSUE)).status == "0"
         it.registry.fail(True)
         await it.log.next("registry_lost")
-        assert (await ask(it, ISSUE)).status == "0"  # the list held goes on
+        assert (await ask(it, ISSUE)).status == "0"  # the agent goes on with the list it has
         late = await it.add(answer)
         it.registry.fail(False)
         await it.log.next("list")
@@ -35,18 +35,18 @@
 
 @sockets
 async def test_counts_of_one_agent_reach_the_other(tmp_path):
-    """Two agents that may message: what each saw of the trial is added up at one and told to the other."""
+    """Two agents that may exchange messages: what one has seen of the trial is sent to the other."""
     conveyor = Offering(
         lambda count, request: pb.Verdict(answer=pb.Verdict.OK, stage=conveyor.word).SerializeToString()
     )
     where = conveyor.listen_on("127.0.0.1:0")
-    free = [Offering(None), Offering(None)]  # their ports are the agents'
+    free = [Offering(None), Offering(None)]  # reserve ports for the agents
     ports = [one.listen_on("127.0.0.1:0") for one in free]
     for one in free:
         one.shutdown()
     async with rig(tmp_path, answer, answer, answer) as it:
         await it.add(answer, build=2)
-        daemons, heard, logs = [], {0: [], 1: []}, []
+        daemons, received, logs = [], {0: [], 1: []}, []
         for me in (0, 1):
             folder = tmp_path / str(me)
             folder.mkdir()
@@ -60,21 +60,21 @@
             )
             logs.append(Log())
             daemon = Daemon(read_agent(file), logs[-1])
-            told = daemon.engine_host.receive_message
-            daemon.engine_host.receive_message = lambda sender, figures, me=me, told=told: (
-                heard[me].append((sender, figures)),
-                told(sender, figures),
+            receive = daemon.engine_host.receive_message
+            daemon.engine_host.receive_message = lambda sender, figures, me=me, receive=receive: (
+                received[me].append((sender, figures)),
+                receive(sender, figures),
             )
             ready = [asyncio.ensure_future(logs[-1].next(event)) for event in ("list", "stage")]
             daemon.start_up()
             await asyncio.gather(*ready)
             daemons.append(daemon)
         clients = [await Client.connect(port) for port in ports]
-        while not (heard[0] and heard[1]):
+        while not (received[0] and received[1]):
             calls = [client.call(VIEW) for client in clients for _ in range(2)]
             await asyncio.gather(*(got.done.wait() for got in calls))
         for me in (0, 1):
-            for sender, figures in heard[me]:
+            for sender, figures in received[me]:
                 assert sender == 1 - me and len(figures) in (13, 14) and figures[-13] == 2
         with_garbage = Channel(ports[0], 1_000_000)
         try:
@@ -92,8 +92,8 @@
 
 
 @sockets
-async def test_an_alarm_that_comes_a_microsecond_early_is_not_lost(tmp_path):
-    """The decisions arm one alarm at a time: if it is taken for done before it is due, no timer fires any more."""
+async def test_a_loop_timer_that_fires_a_microsecond_early_loses_no_alarm(tmp_path):
+    """The engine asks for one alarm at a time: if it counts as run before it is due, no timer fires again."""
     async with rig(tmp_path, answer) as it:
         daemon, fired, real = it.daemon, asyncio.Event(), it.daemon.clock.now
         due = real() + 20_000
@@ -118,17 +118,17 @@
 
 
 @sockets
-async def test_an_alarm_that_an_event_has_forestalled_does_not_take_the_next_with_it(tmp_path):
+async def test_an_alarm_whose_timers_an_event_has_already_run_does_not_cancel_the_next(tmp_path):
     async with rig(tmp_path, answer) as it:
         engine, now, fired = it.daemon.engine_host.engine, it.daemon.clock.now(), asyncio.Event()
         engine.call_at(now + 1000, lambda: engine.call_at(now + 40_000, fired.set))
         while it.daemon.clock.now() < now + 1000:
             pass
-        it.daemon.engine_host.catch_up()  # an event comes before the alarm's turn
+        it.daemon.engine_host.catch_up()  # an event is handled before the alarm fires
         await asyncio.wait_for(fired.wait(), 5)
 
 
-def test_load_comes_from_the_orca_trailer():
+def test_the_load_is_read_from_the_orca_trailer():
     report = orca_pb2.OrcaLoadReport(
         cpu_utilization=0.5,
         rps_fractional=20,
@@ -139,9 +139,12 @@
     assert load_of([]) is None and load_of([(b"endpoint-load-metrics-bin", b"!")]) is None
 
 
-def test_what_is_kept_is_on_disk_when_it_counts_as_kept(tmp_path, monkeypatch):
-    """In order: the new text synced beside the old one, put in its place, and that place synced: else a machine that goes down may
-    come back to the old one, and an agent to a decision before the one it followed."""
+def test_a_file_that_has_been_replaced_is_on_disk(tmp_path, monkeypatch):
+    """The new text is synced beside the old one, put in its place, and the folder is synced, in this order.
+
+    Otherwise a machine that goes down may come back with the old text, and an agent with a decision that is
+    older than the one it followed.
+    """
     done, sync, replace = [], os.fsync, os.replace
     monkeypatch.setattr(
         os,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,5 +1,7 @@
-"""An agent as a process of its own: signals, a stopped clock, no more file descriptors, a port that is taken, news
-that goes away."""
+"""An agent as a process of its own.
+
+Signals, a stopped process, no more file descriptors, a port in use, and a control plane that fails.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +24,7 @@
 
 
 async def world(folder, *acts, before=(), conveyor="127.0.0.1:9", **more):
-    """A registry and appliances here, the agent as a process."""
+    """Starts a registry and appliances in this process, and an agent in its own."""
     registry, appliances = Registry(), []
     address = registry.listen_on("127.0.0.1:0")
     for number, act in enumerate(acts):
@@ -40,15 +42,15 @@
 
 
 @sockets
-async def test_first_sigterm_lets_held_calls_end_and_takes_no_more(tmp_path):
+async def test_the_first_sigterm_lets_open_calls_end_and_accepts_no_more(tmp_path):
     go = asyncio.Event()
 
-    async def when_told(who, peer, stream, number):
+    async def answer_later(appliance, peer, stream, number):
         await go.wait()
-        answer(who, peer, stream, number)
+        answer(appliance, peer, stream, number)
         peer.write()
 
-    registry, appliances, process = await world(tmp_path, when_told)
+    registry, appliances, process = await world(tmp_path, answer_later)
     async with grpc.aio.insecure_channel(process.address) as channel:
         held = asyncio.ensure_future(channel.unary_unary(VIEW)(b"please", timeout=2))
         await appliances[0].asked.wait()
@@ -64,7 +66,7 @@
 
 
 @sockets
-async def test_second_sigterm_answers_what_is_owed_at_once(tmp_path):
+async def test_the_second_sigterm_answers_open_calls_at_once(tmp_path):
     registry, appliances, process = await world(tmp_path, nothing)
     async with grpc.aio.insecure_channel(process.address) as channel:
         view, issue = (channel.unary_unary(path)(b"please", timeout=2) for path in (VIEW, ISSUE))
@@ -82,9 +84,12 @@
 
 
 @sockets
-async def test_budgets_are_right_at_the_first_event_after_a_stop(tmp_path):
-    """Stopped for 500 ms with calls in its socket: those whose time has passed are not begun, those with little
-    left are dispatched with no more than that."""
+async def test_time_left_is_right_at_the_first_event_after_a_stop(tmp_path):
+    """The process is stopped for 500 ms with calls in its socket.
+
+    Calls whose time has run out are not begun, and those with some time left are dispatched with no more than
+    that.
+    """
     registry, appliances, process = await world(tmp_path, answer, answer)
     client = await Client.connect(process.address)
     first = client.call(VIEW)
@@ -93,12 +98,12 @@
     while Path(f"/proc/{process.process.pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
         pass
     stopped = time.monotonic()
-    passed, some = client.call(ISSUE, timeout="300m"), client.call(ISSUE, timeout="900m")
+    expired, alive = client.call(ISSUE, timeout="300m"), client.call(ISSUE, timeout="900m")
     await asyncio.sleep(0.5)
     process.process.send_signal(signal.SIGCONT)
     slept = time.monotonic() - stopped
-    await asyncio.gather(passed.done.wait(), some.done.wait())
-    assert passed.tail["cartweir-answer"] in ("throttled", "terminated") and some.status == "0"
+    await asyncio.gather(expired.done.wait(), alive.done.wait())
+    assert expired.tail["cartweir-answer"] in ("throttled", "terminated") and alive.status == "0"
     sent = [request for a in appliances for request in a.requests]
     budgets = sorted(int(request["grpc-timeout"][:-1]) for request in sent if request[":path"] == ISSUE)
     assert budgets[-1] <= 900_000 - slept * 1e6 + 1000 and all(b <= 1000 for b in budgets[:-1])
@@ -108,20 +113,20 @@
 
 
 @sockets
-async def test_file_descriptors_run_out(tmp_path):
+async def test_clients_wait_in_the_queue_while_there_are_no_file_descriptors(tmp_path):
     registry, appliances, process = await world(tmp_path, answer, before=("prlimit", "--nofile=40:40"))
     clients = [await Client.connect(process.address) for _ in range(45)]
     await process.until("accept_short")
-    told = process.of("accept_short")
-    assert len(told) == 1 and "ulimit" in told[0]["due"]
-    accepted = clients[: told[0]["connections"]]
+    logged = process.of("accept_short")
+    assert len(logged) == 1 and "ulimit" in logged[0]["due"]
+    accepted = clients[: logged[0]["connections"]]
     for client in accepted[:5]:
         got = client.call(VIEW)
         await got.done.wait()
         assert got.ends == 1 and got.status in ("0", "8")
     for client in accepted[5:]:
         client.close()
-    got = clients[-1].call(VIEW)  # waited in the queue all the while
+    got = clients[-1].call(VIEW)  # it has waited in the socket's queue
     await got.done.wait()
     assert got.ends == 1 and process.of("accept_again")
     assert await process.stop() == 0
@@ -129,7 +134,7 @@
 
 
 @sockets
-async def test_two_agents_on_one_port(tmp_path):
+async def test_a_port_in_use_ends_the_agent_with_a_message(tmp_path):
     registry, appliances, process = await world(tmp_path, answer)
     file = settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9")
     file.write_text(file.read_text().replace("listen = 127.0.0.1:0", f"listen = {process.address}"))
@@ -139,6 +144,7 @@
         text=True,
         capture_output=True,
         timeout=20,
+        check=False,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
     assert done.returncode == 1 and "Traceback" not in done.stderr
@@ -147,10 +153,10 @@
     end(registry, appliances)
 
 
-# ---- news that goes away ----
+# ---- the control plane fails ----
 @sockets
-async def test_registry_gone_at_the_start_and_later(tmp_path):
-    """Without any list calls are throttled; from a kept list, and with the registry gone, they go on."""
+async def test_calls_go_on_with_the_list_on_disk_while_the_registry_is_gone(tmp_path):
+    """Without any list calls are throttled; with a list on disk they go on, also at the next start."""
     kept = tmp_path / "kept.list"
     gone = settings(tmp_path, "127.0.0.1:9", "127.0.0.1:9", agent=f"list_file = {kept}")
     process = await Process.start(gone)
@@ -189,7 +195,7 @@
 
 
 class Offering(Service):
-    """A conveyor that offers a build whose answers all fail, and does with votes as it is told."""
+    """A conveyor that has build 2 on trial, and answers votes by a given function."""
 
     def __init__(self, do):
         super().__init__()
@@ -207,14 +213,14 @@
 
 
 async def until_voted(it, conveyor, count):
-    """Traffic on both builds until so many votes came."""
+    """Sends calls until so many votes have been cast; returns them."""
     while len(conveyor.votes) < count:
         calls = [it.clients[0].call(VIEW) for _ in range(4)]
         await asyncio.gather(*(got.done.wait() for got in calls))
     return [(v.build, v.stage, pb.Choice.Name(v.choice)) for v in conveyor.votes]
 
 
-def bad(who, peer, stream, number):
+def bad(appliance, peer, stream, number):
     peer.h2.send_headers(
         stream,
         [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "13")],
@@ -223,7 +229,7 @@
 
 
 @sockets
-async def test_votes_answered_refused_timed_out_and_lost_with_the_conveyor(tmp_path):
+async def test_a_vote_that_is_refused_or_gets_no_answer_is_cast_again(tmp_path):
     def full(count, request):
         verdict = pb.Verdict(answer=pb.Verdict.FULL if count == 1 else pb.Verdict.OK, stage=conveyor.word)
         return verdict.SerializeToString()
@@ -244,7 +250,7 @@
             await it.add(bad, build=2)
             await listed
             await it.client()
-            # one vote, and it is cast once more where it was refused or got lost
+            # the vote is cast once more where it was refused or lost
             assert await until_voted(it, conveyor, votes) == [(2, 0, "BACK")] * votes
             while len(it.log.of("vote")) < len(answers):
                 await it.log.next("vote")
@@ -255,29 +261,32 @@
 
 @sockets
 async def test_an_agent_that_was_killed_follows_no_older_decision_of_another_controller(tmp_path):
-    """The first controller has told decision 9 of epoch 7; the second, which lags or was an owner before, tells older ones."""
-    told = []
+    """The first controller has sent decision 9 of epoch 7; the second one sends older ones.
+
+    It lags behind, or has owned the release before.
+    """
+    sent = []
 
-    def office(*stamps):
+    def controller(*stamps):
         service = Service()
 
         async def news(request):
             for epoch, index, cap in stamps:
                 stage = pb.Stage(build=2, number=0, phase=pb.ON_TRIAL, cap=cap, epoch=epoch, index=index)
                 request.send(pb.Word(stage=stage).SerializeToString())
-            told.append(stamps)
+            sent.append(stamps)
 
         service.handlers["/cartweir.v1.Conveyor/News"] = news
         return service, service.listen_on("127.0.0.1:0")
 
-    first, address = office((7, 8, 0.2), (7, 9, 0.3))
+    first, address = controller((7, 8, 0.2), (7, 9, 0.3))
     keep = {"agent": f"stage_file = {tmp_path / 'stage'}"}
     registry, appliances, process = await world(tmp_path, answer, conveyor=address, **keep)
     while len(process.of("stage")) < 2:
         await asyncio.sleep(0.005)
     await process.stop(signal.SIGKILL)
     assert not process.of("stage_late")
-    second, other = office((7, 8, 0.9), (3, 99, 0.9), (7, 9, 0.3))
+    second, other = controller((7, 8, 0.9), (3, 99, 0.9), (7, 9, 0.3))
     registry2, appliances2, again = await world(tmp_path, answer, conveyor=other, **keep)
     while len(again.of("stage_late")) < 2 or not again.of("stage"):
         await asyncio.sleep(0.005)
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -1,11 +1,16 @@
-"""One sequence of events through both doors, the drill's lines and the agent's EngineHost under a fake clock: the same
-decisions, in the same order."""
+"""The same events lead to the same decisions through both hosts of the engine.
+
+One sequence of events goes through the simulator's line protocol and through the running agent's `EngineHost`
+under a fake clock. Their actions have to be the same, in the same order.
+"""
 
 from __future__ import annotations
 
+import base64
 import io
 import json
 import random
+from functools import partial
 
 import pytest
 
@@ -15,7 +20,10 @@
 from cartweir.hosting.engine_host import EngineHost
 from cartweir.interface import Stage
 
-CODES = {how: code for code, how in OUTCOMES.items()}
+CODES = {result: code for code, result in OUTCOMES.items()}
+STATE_NAMES = {state: name for name, state in STATES.items()}
+START = 1_000_000  # microseconds
+SEED = 7  # of the decisions
 PARAMS = {
     "balancers": 3,
     "me": 1,
@@ -70,13 +78,17 @@
 }
 
 
-class Fake:
-    """A World that writes down what it is asked; time is what the test says."""
+class FakeEnvironment:
+    """Writes down what it is asked to do; the test sets the time."""
 
-    def __init__(self, start):
-        self.time, self.lines, self.out, self.alarms, self.later = start, [], {}, [], []
+    def __init__(self):
+        self.time = START
+        self.lines = []
+        self.outstanding = {}  # dispatches by invocation and number
+        self.alarms = []
+        self.deferred = []
 
-    def say(self, text):
+    def write(self, text):
         self.lines.append(f"{self.time / 1e6:8.3f}  {text}")
 
     def now(self):
@@ -86,232 +98,226 @@
         self.alarms.append(due)
 
     def run_soon(self, do):
-        self.later.append(do)
+        self.deferred.append(do)
+
+    def run_deferred(self):
+        while self.deferred:
+            self.deferred.pop(0)()
 
     def start(self, dispatch, call):
-        self.say(
-            f"dispatch {dispatch.invocation.id}.{dispatch.number} to {dispatch.appliance.id} for {dispatch.timeout}"
-        )
-        self.out[dispatch.invocation.id, dispatch.number] = dispatch
+        name = f"{dispatch.invocation.id}.{dispatch.number}"
+        self.write(f"dispatch {name} to {dispatch.appliance.id} for {dispatch.timeout}")
+        self.outstanding[dispatch.invocation.id, dispatch.number] = dispatch
         return Attempt(self, dispatch)
 
     def probe(self, appliance):
-        self.say(f"probe {appliance.id}")
+        self.write(f"probe {appliance.id}")
 
     def vote(self, build, stage, verdict):
-        self.say(f"vote {verdict} {build} {stage}")
+        self.write(f"vote {verdict} {build} {stage}")
 
     def message(self, to, figures):
-        self.say(f"message {'all' if to is None else to} {figures}")
+        self.write(f"message {'all' if to is None else to} {figures}")
 
     def log_event(self, event, **facts):
         if event == "decision":
-            self.say(f"log {facts['text']}")
+            self.write(f"log {facts['text']}")
 
     def subscribe(self):
-        self.say("subscribe")
+        self.write("subscribe")
 
     fetch_list = subscribe
 
 
 class Attempt:
-    def __init__(self, fake, dispatch):
-        self.fake, self.dispatch = fake, dispatch
+    def __init__(self, environment, dispatch):
+        self.environment, self.dispatch = environment, dispatch
 
     def abandon(self, late):
-        self.fake.say(f"cancel {self.dispatch.invocation.id}.{self.dispatch.number}")
+        self.environment.write(f"cancel {self.dispatch.invocation.id}.{self.dispatch.number}")
 
 
 class Call:
-    def __init__(self, fake, ident):
-        self.fake, self.id = fake, ident
+    def __init__(self, environment, invocation_id):
+        self.environment, self.id = environment, invocation_id
 
     def succeed(self, *answer):
         pass
 
     def throttle(self, retry_after):
-        self.fake.say(f"throttle {self.id} {retry_after}")
+        self.environment.write(f"throttle {self.id} {retry_after}")
 
     def terminate(self):
-        self.fake.say(f"terminate {self.id}")
+        self.environment.write(f"terminate {self.id}")
 
 
 def ms(time):
     return f"{time // 1000}.{time % 1000:03d}"
 
 
-def read_action(line, now):
-    """A line of the drill in the words of Fake."""
+def read_action(line):
+    """Returns an action of the simulator's protocol as `FakeEnvironment` writes it; None for others."""
     name, _, rest = line.partition("\t")
     got = dict(part.split("=", 1) for part in rest.split("\t")) if name != "LOG" else {}
     micro = {key: round(float(got[key]) * 1000) for key in ("tryFor", "stayAway") if key in got}
+    action = None
     match name:
         case "SEND":
-            return f"dispatch {got['requestId']}.? to {got['appliance']} for {micro['tryFor']}"
+            action = f"dispatch {got['requestId']}.? to {got['appliance']} for {micro['tryFor']}"
         case "STOP_ATTEMPT":
-            return f"cancel {got['requestId']}.{got['shot']}"
+            action = f"cancel {got['requestId']}.{got['shot']}"
         case "PUSH_BACK":
-            return f"throttle {got['requestId']} {micro.get('stayAway', 0)}"
+            action = f"throttle {got['requestId']} {micro.get('stayAway', 0)}"
         case "END_FAILED":
-            return f"terminate {got['requestId']}"
+            action = f"terminate {got['requestId']}"
         case "CHECK":
-            return f"probe {got['appliance']}"
+            action = f"probe {got['appliance']}"
         case "RULING":
             verdict = {"1": ours.ON, "2": ours.HOLD, "3": ours.BACK}[got["how"]]
-            return f"vote {verdict} {got['build']} {got['ring']}"
+            action = f"vote {verdict} {got['build']} {got['ring']}"
         case "NOTIFY":
-            import base64
-
             to = "all" if got["addressee"] == "*" else got["addressee"]
-            return f"message {to} {[int(n) for n in base64.b64decode(got['body']).split()]}"
+            action = f"message {to} {[int(n) for n in base64.b64decode(got['body']).split()]}"
         case "LOG":
-            return f"log {line.partition('reasonText=')[2]}"
-    return None
-
-
-class Drill:
-    """The drill's side: one batch an event."""
-
-    def __init__(self, start, seed):
-        self.lines, self.batches, self.due = [], [], None
-        self.start, self.seed = start, seed
-
-    def play(self, events):
-        """events: (time, lines)."""
-        text = []
-        for time, lines in events:
-            text += [f"TURN\tclock={ms(time)}", *lines, "OVER_TO_YOU", ""]
-        sink = io.StringIO()
-        serve(io.StringIO("\n".join(text)), sink)
-        replies = sink.getvalue().split("ACK\n")
-        for (time, _), reply in zip(events, replies):
-            for line in reply.splitlines():
-                if line and (said := read_action(line, time)) is not None:
-                    self.lines.append(f"{time / 1e6:8.3f}  {said}")
-        return self.lines
-
-
-def day(seed, bad):
-    """Drawn events at the agent's door, and the same ones as lines for the drill."""
-    chance, start = random.Random(seed), 1_000_000
-    fake, settings = Fake(start), parse_settings(PARAMS)
-    engine_host = EngineHost(fake, settings, 7)
-    events = [(start, [f"SPAWN\tagent=agent_1\trngSeed=7\tparams={json.dumps(PARAMS)}"])]
-    number = 0
-
-    def both(lines, act):
-        """What the agent is told by act() the drill is told by lines, after the alarms that are due before."""
-        events.append((fake.time, lines))
+            action = f"log {line.partition('reasonText=')[2]}"
+    return action
+
+
+def play(events):
+    """Returns the actions of the simulator's adapter after events, given as pairs of a time and lines."""
+    text, actions = [], []
+    for time, lines in events:
+        text += [f"TURN\tclock={ms(time)}", *lines, "OVER_TO_YOU", ""]
+    sink = io.StringIO()
+    serve(io.StringIO("\n".join(text)), sink)
+    replies = sink.getvalue().split("ACK\n")
+    for (time, _), reply in zip(events, replies, strict=False):  # behind the last ACK nothing is left
+        for line in reply.splitlines():
+            if line and (action := read_action(line)) is not None:
+                actions.append(f"{time / 1e6:8.3f}  {action}")
+    return actions
+
+
+class Day:
+    """Random events for an `EngineHost`, written down as the simulator's lines as well."""
+
+    def __init__(self, seed, bad):
+        self.rng, self.bad = random.Random(seed), bad
+        self.environment = FakeEnvironment()
+        self.engine_host = EngineHost(self.environment, parse_settings(PARAMS), SEED)
+        self.events = [(START, [f"SPAWN\tagent=agent_1\trngSeed={SEED}\tparams={json.dumps(PARAMS)}"])]
+        self.invocations = 0
+        self.end = self.engine_host.dispatch_ended
+        self.engine_host.dispatch_ended = self.dispatch_ended
+
+    def send(self, lines, act):
+        """Passes one event to the agent by `act`, and to the simulator's adapter by `lines`."""
+        self.events.append((self.environment.time, lines))
         act()
-        turn()
+        self.environment.run_deferred()
 
-    def turn():
-        while fake.later:  # what the World does in its next turn
-            fake.later.pop(0)()
-
-    end = engine_host.dispatch_ended
-
-    def ended(dispatch, how, load=None, answer=None, passed=False):
-        """Each end that the agent's door tells, the drill is told by a line."""
+    def dispatch_ended(self, dispatch, result, load=None, answer=None, passed=False):
+        """Writes a line for each end of a dispatch that the agent handles."""
         if dispatch.result is None:
-            done = how == ours.SUCCEEDED or dispatch.invocation.concluded
-            events.append(
-                (
-                    fake.time,
-                    [
-                        f"COMPLETED\tagent=agent_1\trequestId={dispatch.invocation.id}\tappliance={dispatch.appliance.id}"
-                        f"\tshot={dispatch.number}\tverdict={CODES[how]}\tcomplete={int(done)}\trtt={ms(fake.time - dispatch.sent)}"
-                    ],
-                )
+            done = result == ours.SUCCEEDED or dispatch.invocation.concluded
+            took = ms(self.environment.time - dispatch.sent)
+            line = (
+                f"COMPLETED\tagent=agent_1\trequestId={dispatch.invocation.id}\tappliance={dispatch.appliance.id}"
+                f"\tshot={dispatch.number}\tverdict={CODES[result]}\tcomplete={int(done)}\trtt={took}"
             )
-        end(dispatch, how, load, answer, passed)
+            self.events.append((self.environment.time, [line]))
+        self.end(dispatch, result, load, answer, passed)
 
-    engine_host.dispatch_ended = ended
-
-    def listing(entries, whole):
+    def update_list(self, entries, whole):
         rows, lines = [], [f"POOL\tsheet=0\trows={len(entries)}"]
-        for ident, build, state, zone, started in entries:
-            rows.append(ListEntry(ident, build, started, started, state, zone, 0, "std", 1.0))
-            phase = {v: k for k, v in STATES.items()}[state]
+        for appliance_id, build, state, zone, started in entries:
+            rows.append(ListEntry(appliance_id, build, started, started, state, zone, 0, "std", 1.0))
             lines.append(
-                f"ENTRY\tphase={phase}\tshape=std\tsize=1\tappliance={ident}\tdc={zone}\tpod=0\truns={build}"
-                f"\tupSince={ms(started)}"
+                f"ENTRY\tphase={STATE_NAMES[state]}\tshape=std\tsize=1\tappliance={appliance_id}\tdc={zone}\tpod=0"
+                f"\truns={build}\tupSince={ms(started)}"
             )
         lines.append(f"REGISTRY\tagent=agent_1\thow={'snapshot' if whole else 'diff'}\tversion=1\tsheet=0")
-        both(lines, lambda: engine_host.apply_list("whole" if whole else "changes", rows))
-
-    def staged(build, stage, phase, cap):
-        both(
-            [
-                f"RELEASE_STATE\tagent=agent_1\tbuild={build}\tring={stage}\twhereAt={PHASES.index(phase)}\thow=0\tcap={cap}"
-                f"\tlateness=0"
-            ],
-            lambda: engine_host.apply_stage(Stage(build, stage, phase, cap, 0, None)),
-        )
+        self.send(lines, lambda: self.engine_host.apply_list("whole" if whole else "changes", rows))
 
-    def alarms_until(time):
-        while fake.alarms and min(fake.alarms) <= time:
-            fake.time = max(fake.time, min(fake.alarms))
-            fake.alarms = [due for due in fake.alarms if due > fake.time]
-            both(["TIMEOUT_FIRED\tagent=agent_1\tref=0"], engine_host.run_timers)
-        fake.time = time
-
-    old = [(f"old{n}", 1, ours.READY, "ab"[n % 2], 0) for n in range(6)]
-    listing(old, True)
-    staged(1, 2, ours.RELEASED, 1.0)
-    for step in range(1500):
-        alarms_until(fake.time + chance.randrange(2000, 12_000))
-        roll = chance.random()
-        if step == 200:
-            staged(2, 0, ours.ON_TRIAL, 0.2)
-        elif step == 230:
-            listing([(f"new{n}", 2, ours.READY, "ab"[n], fake.time) for n in range(2)], False)
-        elif step == 700:
-            listing([("old0", 1, ours.DRAINING, "a", 0)], False)
+    def update_stage(self, build, stage, phase, cap):
+        line = (
+            f"RELEASE_STATE\tagent=agent_1\tbuild={build}\tring={stage}\twhereAt={PHASES.index(phase)}\thow=0"
+            f"\tcap={cap}\tlateness=0"
+        )
+        self.send([line], lambda: self.engine_host.apply_stage(Stage(build, stage, phase, cap, 0, None)))
+
+    def advance_to(self, time):
+        """Runs the alarms up to a time."""
+        environment = self.environment
+        while environment.alarms and min(environment.alarms) <= time:
+            environment.time = max(environment.time, min(environment.alarms))
+            environment.alarms = [due for due in environment.alarms if due > environment.time]
+            self.send(["TIMEOUT_FIRED\tagent=agent_1\tref=0"], self.engine_host.run_timers)
+        environment.time = time
+
+    def accept(self):
+        self.invocations += 1
+        number, operation = self.invocations, self.rng.choice(("view", "view", "order", "issue"))
+        left, key = self.rng.choice((3_000_000, 900_000, 60_000)), f"k{self.rng.randrange(300)}"
+        line = f"INGRESS\tagent=agent_1\trequestId={number}\tservice={operation}\titem={key}\tleft={ms(left)}"
+        call = Call(self.environment, number)
+        host, time = self.engine_host, self.environment.time
+        self.send([line], partial(host.accept, call, host.operations[operation], time, left, key=key))
+
+    def answer_probe(self, appliance_id):
+        line = f"SAMPLED\tagent=agent_1\tappliance={appliance_id}\tverdict=200\trtt=1.0"
+        appliance = self.engine_host.appliance_list.appliances[appliance_id]
+        self.send([line], partial(self.engine_host.probe_ended, appliance, True, 1000, None))
+
+    def end_dispatch(self):
+        key = self.rng.choice(list(self.environment.outstanding))
+        dispatch = self.environment.outstanding.pop(key)
+        if dispatch.result is not None:
+            return
+        result = self.rng.choice(
+            (ours.SUCCEEDED,) * 20 + (ours.ERROR, ours.FULL, ours.UNCONNECTED, ours.RESET, ours.TIMEOUT)
+        )
+        if self.bad and dispatch.appliance.build == 2 and self.rng.random() < 0.5:
+            result = ours.ERROR
+        answer = ((), [], ()) if result == ours.SUCCEEDED else None
+        self.engine_host.dispatch_ended(dispatch, result, answer=answer)
+        self.environment.run_deferred()
+
+    def step(self, number):
+        environment = self.environment
+        self.advance_to(environment.time + self.rng.randrange(2000, 12_000))
+        roll = self.rng.random()
+        if number == 200:
+            self.update_stage(2, 0, ours.ON_TRIAL, 0.2)
+        elif number == 230:
+            self.update_list([(f"new{n}", 2, ours.READY, "ab"[n], environment.time) for n in range(2)], False)
+        elif number == 700:
+            self.update_list([("old0", 1, ours.DRAINING, "a", 0)], False)
         elif roll < 0.45:
-            number += 1
-            ident, operation = number, chance.choice(("view", "view", "order", "issue"))
-            left, key = chance.choice((3_000_000, 900_000, 60_000)), f"k{chance.randrange(300)}"
-            both(
-                [
-                    f"INGRESS\tagent=agent_1\trequestId={ident}\tservice={operation}\titem={key}\tleft={ms(left)}"
-                ],
-                lambda: engine_host.accept(
-                    Call(fake, ident), engine_host.operations[operation], fake.time, left, key=key
-                ),
-            )
-        elif roll < 0.5 and (waiting := [line for line in fake.lines[-4:] if " probe " in line]):
-            ident = waiting[-1].split()[-1]
-            both(
-                [f"SAMPLED\tagent=agent_1\tappliance={ident}\tverdict=200\trtt=1.0"],
-                lambda: engine_host.probe_ended(
-                    engine_host.appliance_list.appliances[ident], True, 1000, None
-                ),
-            )
-        elif fake.out:
-            invocation, shot = chance.choice(list(fake.out))
-            dispatch = fake.out.pop((invocation, shot))
-            if dispatch.result is not None:
-                continue
-            how = chance.choice(
-                (ours.SUCCEEDED,) * 20 + (ours.ERROR, ours.FULL, ours.UNCONNECTED, ours.RESET, ours.TIMEOUT)
-            )
-            if bad and dispatch.appliance.build == 2 and chance.random() < 0.5:
-                how = ours.ERROR
-            engine_host.dispatch_ended(dispatch, how, answer=((), [], ()) if how == ours.SUCCEEDED else None)
-            turn()
-    return fake.lines, events
+            self.accept()
+        elif roll < 0.5 and (probes := [line for line in environment.lines[-4:] if " probe " in line]):
+            self.answer_probe(probes[-1].split()[-1])
+        elif environment.outstanding:
+            self.end_dispatch()
+
+    def run(self):
+        self.update_list([(f"old{n}", 1, ours.READY, "ab"[n % 2], 0) for n in range(6)], True)
+        self.update_stage(1, 2, ours.RELEASED, 1.0)
+        for number in range(1500):
+            self.step(number)
+
+
+def without_number(line):
+    """Returns an action without the number of its dispatch, which the simulator's protocol does not send."""
+    if "  dispatch " not in line:
+        return line
+    return line.split(" to ")[0].rsplit(".", 1)[0] + ".? to " + line.split(" to ")[1]
 
 
 @pytest.mark.parametrize("seed, bad", [(1, False), (2, True), (3, True)])
 def test_same_events_same_decisions(seed, bad):
-    lines, events = day(seed, bad)
-    drill = Drill(1_000_000, 7).play(events)
-    agent = [
-        line.split(" to ")[0].rsplit(".", 1)[0] + ".? to " + line.split(" to ")[1]
-        if "  dispatch " in line
-        else line
-        for line in lines
-    ]
-    assert sum("dispatch" in line for line in agent) > 500 and any("vote" in line for line in agent)
-    assert agent == drill
+    day = Day(seed, bad)
+    day.run()
+    actions = [without_number(line) for line in day.environment.lines]
+    assert sum("dispatch" in line for line in actions) > 500 and any("vote" in line for line in actions)
+    assert actions == play(day.events)
