--- a/cartweir/agent/control_plane.py
+++ b/cartweir/agent/control_plane.py
@@ -577,7 +577,7 @@
         except CallError as error:
             self.log_event("message_lost", level="debug", to=number, why=str(error))
 
-    def heard(self, message: bytes) -> None:
+    def handle_message(self, message: bytes) -> None:
         """Handles a message of another agent.
 
         Raises:
--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -249,7 +249,7 @@
             front_limits(document),
             self.clock,
             self.log_event,
-            {PEER_MESSAGE_PATH: self.peers.heard} if document.allowed.may_message else {},
+            {PEER_MESSAGE_PATH: self.peers.handle_message} if document.allowed.may_message else {},
             tap,
         )
         self.ended = asyncio.Event()
--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -368,7 +368,7 @@
 
     def _told(self, member: WorkerConnection, message: bytes) -> None:
         try:
-            self.peers.heard(message)
+            self.peers.handle_message(message)
         except MalformedError as error:
             self.log_event("message_bad", level="debug", why=str(error))
 
