--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -11,7 +11,7 @@
 import sys
 import traceback
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 import structlog
 from tornado.ioloop import IOLoop
@@ -114,6 +114,20 @@
     return FrontLimits(wire.connections, wire.streams, wire.window, wire.message, wire.header_list)
 
 
+class ControlPlaneClients(NamedTuple):
+    """The clients of one agent's control plane.
+
+    Attributes:
+        registry: Receives the list of appliances.
+        conveyor: Receives stages and reports, and casts votes.
+        peers: Exchanges messages with the other agents.
+    """
+
+    registry: RegistryClient
+    conveyor: ConveyorClient
+    peers: PeerMessenger
+
+
 def make_control_plane_clients(
     document: AgentDocument,
     engine_host: EngineHost,
@@ -124,7 +138,7 @@
     limits: SessionLimits,
     tap: Tap | None,
     stage_fence: PersistentFence | None = None,
-) -> tuple[RegistryClient, ConveyorClient, PeerMessenger]:
+) -> ControlPlaneClients:
     """Returns the clients of the registry, the conveyor and the other agents.
 
     Args:
@@ -160,7 +174,7 @@
         agent.list_file,
         ListFilter(document.registry.drop_share, document.registry.hold_time),
     )
-    return (
+    return ControlPlaneClients(
         registry,
         ConveyorClient(
             engine_host,
