--- a/cartweir/agent/appliance_pools.py
+++ b/cartweir/agent/appliance_pools.py
@@ -12,6 +12,7 @@
 
 from .. import interface as ours
 from ..hosting.engine_host import Answer, EngineHost
+from ..hosting.event_log import EventLogger
 from ..hosting.pools import ConnectionPools
 from ..hosting.tcp import connect, spawn, split_address
 from ..interface import Appliance, Dispatch
@@ -23,8 +24,6 @@
 from . import grpc_mapping
 from .front import ClientCall
 
-EventLogger = Callable[..., None]
-
 PROBE_PATH = b"/grpc.health.v1.Health/Check"
 PROBE_ANSWER_BYTES = 1024  # of a probe's answer that are kept; an answer that says "serving" is much shorter
 MIN_IDLE_CHECK_US = 1000
--- a/cartweir/agent/control_plane.py
+++ b/cartweir/agent/control_plane.py
@@ -22,6 +22,7 @@
 from ..hosting.appliance_list import ListEntry
 from ..hosting.backoff import Backoff
 from ..hosting.engine_host import EngineHost
+from ..hosting.event_log import EventLogger
 from ..hosting.tcp import spawn
 from ..interface import Stage, Tally
 from ..proto import agent_pb2 as pb
@@ -30,7 +31,6 @@
 from .appliance_pools import AppliancePools
 from .grpc_mapping import CHOICES, PHASES, STATES, VOTE_ANSWERS
 
-EventLogger = Callable[..., None]
 PEER_MESSAGE_PATH = b"/cartweir.v1.Peer/Tell"
 
 MAX_REASON_LENGTH = 200  # characters of an exception's text in the log
--- a/cartweir/agent/daemon.py
+++ b/cartweir/agent/daemon.py
@@ -21,6 +21,7 @@
 from ..hosting.backoff import Backoff
 from ..hosting.clock import Clock, arrival_selector
 from ..hosting.engine_host import EngineHost
+from ..hosting.event_log import EventLogger
 from ..hosting.graceful_shutdown import GracefulShutdown
 from ..interface import Appliance, Dispatch, Operation
 from ..proto import agent_pb2 as pb
@@ -30,7 +31,7 @@
 from ..wire.session import SessionLimits
 from .appliance_pools import ApplianceOptions, AppliancePools, Attempt
 from .control_plane import PEER_MESSAGE_PATH, ConveyorClient, PeerMessenger, PersistentFence, RegistryClient
-from .front import ClientCall, EventLogger, Front, FrontLimits
+from .front import ClientCall, Front, FrontLimits
 from .key_journal_file import KeyJournalFile
 
 LOG_LEVELS = {
@@ -327,9 +328,9 @@
         """Sends figures to another agent, or to all of them if `to` is None."""
         self.peers.message(to, figures)
 
-    def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
+    def log_event(self, event: str, level: str = "info", **fields: Any) -> None:
         """Logs an event with its fields."""
-        write_event(self.log, event, level, **facts)
+        write_event(self.log, event, level, **fields)
 
     # ---- start and end ----
     def start_up(self) -> str:
@@ -369,9 +370,9 @@
         self.ended.set()
 
 
-def write_event(log: Any, event: str, level: str, **facts: Any) -> None:
+def write_event(log: Any, event: str, level: str, **fields: Any) -> None:
     """Writes a line of the log; events of single invocations are written as debug."""
-    getattr(log, "debug" if event in EVENTS_OF_INVOCATIONS else level)(event, **facts)
+    getattr(log, "debug" if event in EVENTS_OF_INVOCATIONS else level)(event, **fields)
 
 
 def log_unhandled_exception(log_event: EventLogger, context: dict[str, Any]) -> None:
--- a/cartweir/agent/front.py
+++ b/cartweir/agent/front.py
@@ -13,6 +13,7 @@
 
 from ..hosting.clock import Clock
 from ..hosting.engine_host import EngineHost
+from ..hosting.event_log import EventLogger
 from ..hosting.tcp import ReadOnReadyStream, split_address
 from ..interface import Invocation, Operation
 from ..wire import grpc
@@ -22,8 +23,6 @@
 from . import grpc_mapping
 from .receive_queue import QueuedData, queued_data
 
-EventLogger = Callable[..., None]
-
 LISTEN_BACKLOG = 1024  # connections that the kernel holds until they are accepted
 ACCEPTS_PER_TURN = 64  # so that established connections get their share of each turn of the event loop
 READ_BUFFER_BYTES = 256 * 1024
--- a/cartweir/agent/key_journal_file.py
+++ b/cartweir/agent/key_journal_file.py
@@ -11,7 +11,6 @@
 import fcntl
 import os
 import time
-from collections.abc import Callable
 from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import IO
@@ -28,8 +27,7 @@
     encode_journal,
     read_journal,
 )
-
-EventLogger = Callable[..., None]
+from ..hosting.event_log import EventLogger
 
 LOCK_RETRY_SECONDS = 0.01
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
--- a/cartweir/hosting/engine_host.py
+++ b/cartweir/hosting/engine_host.py
@@ -80,7 +80,7 @@
     def message(self, to: int | None, figures: list[int]) -> None:
         """Sends figures to another agent, or to all of them if `to` is None."""
 
-    def log_event(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Logs an event with its fields."""
 
 
@@ -246,7 +246,7 @@
         arrived: int,
         limit: int,
         invocation_id: int | None = None,
-        **facts: Any,
+        **fields: Any,
     ) -> Invocation:
         """Takes a call that has arrived completely.
 
@@ -256,7 +256,7 @@
             arrived: When the call arrived, in microseconds.
             limit: How long the client waits from then on, in microseconds.
             invocation_id: The invocation's id, if it has one already.
-            facts: Further fields of the invocation.
+            fields: Further fields of the invocation.
         """
         self.catch_up()
         self._count += 1
@@ -265,7 +265,7 @@
             operation,
             min(arrived, self.engine.now),
             arrived + min(limit, operation.time_limit),
-            **facts,
+            **fields,
         )
         self.calls[invocation] = call
         self.engine.accept(invocation)
--- a/cartweir/hosting/graceful_shutdown.py
+++ b/cartweir/hosting/graceful_shutdown.py
@@ -8,7 +8,7 @@
 
 from tornado.ioloop import IOLoop
 
-EventLogger = Callable[..., None]
+from .event_log import EventLogger
 
 DRAIN = 1  # the first signal drains
 GIVE_UP = 2  # the second one ends the process
--- a/cartweir/hosting/internal_errors.py
+++ b/cartweir/hosting/internal_errors.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import traceback
-from collections.abc import Callable
+
+from .event_log import EventLogger
 
 MAX_ERROR_LENGTH = 200  # characters of an exception's text in the log
 
 
-def log_internal_error(log_event: Callable[..., None], what: str | None, error: BaseException | None) -> None:
+def log_internal_error(log_event: EventLogger, what: str | None, error: BaseException | None) -> None:
     """Logs an exception with the place in the code that raised it.
 
     Args:
