--- a/cartweir/hosting/engine_host.py
+++ b/cartweir/hosting/engine_host.py
@@ -173,7 +173,7 @@
         """Gives the client the final answer `terminated`."""
         self._answer(invocation, "terminated", lambda call: call.terminate())
 
-    def _answer(self, invocation: Invocation, how: str, give: Callable[[Call], None]) -> None:
+    def _answer(self, invocation: Invocation, answer: str, give: Callable[[Call], None]) -> None:
         call = self.calls.pop(invocation, None)
         if call is not None:
             give(call)
@@ -181,7 +181,7 @@
                 "answer",
                 invocation=invocation.id,
                 operation=invocation.operation.name,
-                how=how,
+                how=answer,
                 dispatches=len(invocation.dispatches),
                 took=self.engine.now - invocation.arrived_at,
             )
