--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -1,5 +1,7 @@
-"""The deciding part: the one instance of the decisions, the news it needs, and the book. Carrying parts bring it what
-happens to invocations; its wishes go back to whoever holds or carries them."""
+"""The decider: runs the decisions for all workers of one agent, with the news they need and the shared state.
+
+Workers report what happens to invocations; actions of the decisions go to the worker that owns the call.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 import secrets
 from collections.abc import Callable, Iterable, Mapping
 from functools import partial
-from typing import IO, Any
+from typing import IO, Any, ClassVar, NamedTuple
 
 from tornado.ioloop import IOLoop
 
@@ -30,24 +32,37 @@
 from ..settings.schema import AgentDocument
 from ..wire.connection import Tap
 from ..wire.grpc import MalformedError
-from . import pipe as say
-from .dispatcher import OUTCOMES, SUCCEED, TERMINATE, THROTTLE, mark_of
-from .division import Division, Share, binds, trusted
-from .pipe import Pipe
+from . import messages
+from .assignment import WorkerAssignment, WorkerLoad
+from .dispatcher import OUTCOMES, instance_id
+from .grants import exposures_in_window, may_bind_key
+from .messages import DispatchOrder, DispatchReport, InvocationMessage
+from .pipe import Message, Pipe
 from .shared_state import SharedState
-from .snapshot import kept, put_back
-
+from .snapshot import restore_snapshot, take_snapshot
 
-class WorkerConnection:
-    """One carrying part."""
+SEED_STRIDE = 1000  # each generation of the decider draws other random numbers from the agent's seed
+SEED_BITS = 63  # of a seed where the settings name none
 
-    def __init__(self, number: int, pipe: Pipe, share: Share) -> None:
-        self.number, self.pipe, self.share = number, pipe, share
-        self.leaving = False  # it drains, and carries nothing new for others
-        self.invocations: dict[int, Invocation] = {}  # that it holds, until nothing of them is out
 
-    def tidy(self, invocation_id: int) -> None:
-        """Forgotten once it is answered and nothing of it is out."""
+class WorkerConnection:
+    """One worker as the decider sees it.
+
+    Attributes:
+        number: Number of the worker.
+        pipe: The connection to it.
+        load: What is known of its load.
+        draining: Whether it drains and sends nothing new for other workers.
+        invocations: Invocations that it owns, until all their dispatches have ended.
+    """
+
+    def __init__(self, number: int, pipe: Pipe, load: WorkerLoad) -> None:
+        self.number, self.pipe, self.load = number, pipe, load
+        self.draining = False
+        self.invocations: dict[int, Invocation] = {}
+
+    def forget_if_done(self, invocation_id: int) -> None:
+        """Forgets an invocation once it is answered and all its dispatches have ended."""
         invocation = self.invocations.get(invocation_id)
         if (
             invocation is not None
@@ -58,102 +73,130 @@
 
 
 class RemoteCall:
-    """In place of a client's call: the part that holds it is told the answer."""
+    """Stands for a client's call: sends its answer to the worker that owns the call.
+
+    Attributes:
+        worker: The owner of the call.
+        invocation_id: Number of the invocation.
+        answer_dispatch: Number of the dispatch whose answer the client is to get.
+        answered: Whether the worker has passed that answer on already.
+    """
 
-    __slots__ = ("member", "id", "answer", "given")
+    __slots__ = ("answer_dispatch", "answered", "invocation_id", "worker")
 
-    def __init__(self, member: WorkerConnection, invocation_id: int) -> None:
-        self.member, self.id = member, invocation_id
-        self.answer = 0  # number of the dispatch whose answer it is to be
-        self.given = False  # the part has passed it on already
+    def __init__(self, worker: WorkerConnection, invocation_id: int) -> None:
+        self.worker, self.invocation_id = worker, invocation_id
+        self.answer_dispatch = 0
+        self.answered = False
 
-    def _say(self, how: int, figure: int) -> None:
-        self.member.pipe.send([say.ANSWER, self.id, how, figure])
-        IOLoop.current().add_callback(self.member.tidy, self.id)
+    def _send(self, answer: int, figure: int) -> None:
+        self.worker.pipe.send([messages.ANSWER, self.invocation_id, answer, figure])
+        IOLoop.current().add_callback(self.worker.forget_if_done, self.invocation_id)
 
     def succeed(self, *answer: Any) -> None:
-        if not self.given:
-            self._say(SUCCEED, self.answer)
+        """Lets the worker pass on the answer of the dispatch."""
+        if not self.answered:
+            self._send(messages.SUCCEED, self.answer_dispatch)
 
     def throttle(self, retry_after: int) -> None:
-        self._say(THROTTLE, retry_after)
+        """Lets the worker refuse the call; `retry_after` is in microseconds."""
+        self._send(messages.THROTTLE, retry_after)
 
     def terminate(self) -> None:
-        self._say(TERMINATE, 0)
+        """Lets the worker end the call without a promise."""
+        self._send(messages.TERMINATE, 0)
 
 
 class RemoteAttempt:
-    """In place of an attempt."""
+    """Stands for an attempt at an appliance, which a worker makes."""
 
-    __slots__ = ("call", "dispatch", "share")
+    __slots__ = ("call", "dispatch", "load")
 
-    def __init__(self, call: RemoteCall, dispatch: Dispatch, share: Share) -> None:
-        self.call, self.dispatch, self.share = call, dispatch, share
+    def __init__(self, call: RemoteCall, dispatch: Dispatch, load: WorkerLoad) -> None:
+        self.call, self.dispatch, self.load = call, dispatch, load
 
     def abandon(self, late: bool) -> None:
-        self.call.member.pipe.send([say.CANCEL, self.dispatch.invocation.id, self.dispatch.number, late])
+        """Lets the owner of the call cancel the dispatch; `late` says that its time is up."""
+        dispatch = self.dispatch
+        self.call.worker.pipe.send([messages.CANCEL, dispatch.invocation.id, dispatch.number, late])
 
 
 class DeciderEngineHost(EngineHost):
-    """A EngineHost that lets the carrying parts know of stages and lists, and the book of what must not be forgotten."""
+    """Hosts the decisions and passes lists and stages on to the workers."""
 
     def __init__(self, decider: Decider, settings: Mapping[str, Any], seed: int) -> None:
         self.decider = decider
         super().__init__(decider, settings, seed)
 
     def apply_list(self, how: str, rows: Iterable[ListEntry] = (), waited: int | None = 0) -> list[Appliance]:
+        """Applies the registry's list and sends it to the workers."""
         rows = list(rows)
         for row in rows:
             self.decider.rows[row.id] = row
         changed = super().apply_list(how, rows, waited)
         for row in rows:
-            self.decider.marks[self.appliance_list.appliances[row.id]] = mark_of(row)
-        self.decider.tell_rows(how, rows, changed)
+            self.decider.instances[self.appliance_list.appliances[row.id]] = instance_id(row)
+        self.decider.send_list(how, rows, changed)
         return changed
 
     def apply_stage(self, stage: Stage) -> None:
+        """Applies news of a stage and sends it to the workers."""
         super().apply_stage(stage)
-        self.decider.tell_stage(stage)
+        self.decider.send_stage(stage)
 
     def dispatch_ended(self, dispatch: Dispatch, how: str, *facts: Any, **more: Any) -> None:
+        """Applies the end of a dispatch and takes it off its sender's load."""
         attempt = self.attempts.get(dispatch)
         super().dispatch_ended(dispatch, how, *facts, **more)
         if attempt is not None:
-            attempt.share.out -= 1
-            attempt.call.member.tidy(dispatch.invocation.id)
+            attempt.load.open_dispatches -= 1
+            attempt.call.worker.forget_if_done(dispatch.invocation.id)
+
+
+class DeciderFiles(NamedTuple):
+    """Files of a decider.
+
+    Attributes:
+        shared_state: Descriptors of the state that the decider before wrote.
+        tap: Records the traffic on the sockets.
+        facts_lock: Lock on the agent's file of bound keys, which outlives the agent; the shared state does
+            not.
+    """
+
+    shared_state: tuple[int, int, int]
+    tap: Tap | None = None
+    facts_lock: IO[str] | None = None
 
 
 class Decider:
-    """A World, and owner of the pipes. files: of the book, in which the deciding part before wrote. facts: the lock of the agent's
-    own file, which outlives the agent as the book does not."""
-
-    def __init__(
-        self,
-        document: AgentDocument,
-        log: Any,
-        files: tuple[int, int, int],
-        life: int,
-        tap: Tap | None = None,
-        facts: IO[str] | None = None,
-    ) -> None:
+    """Hosts the decisions of an agent on several cores and owns the pipes to its workers.
+
+    Args:
+        document: The agent's settings.
+        log: The agent's log.
+        generation: How often the decider has been started, from 1.
+        files: Its files.
+    """
+
+    def __init__(self, document: AgentDocument, log: Any, generation: int, files: DeciderFiles) -> None:
         self.document, self.log = document, log
         agent = document.agent
         self.loop = IOLoop.current()
         self.clock = Clock(agent.heartbeat, arrival_selector(asyncio.get_running_loop()))
-        seed = secrets.randbits(63) if agent.seed is None else agent.seed * 1000 + life
+        seed = secrets.randbits(SEED_BITS) if agent.seed is None else agent.seed * SEED_STRIDE + generation
         self.chance = random.Random(seed)
-        self.alarms = AlarmScheduler(self.loop, self.clock.now, lambda: self.engine_host.run_timers())
-        self.book = SharedState(files)
-        self.members: dict[int, WorkerConnection] = {}
-        self.division = Division(document.agent.cores, document.appliances.connections)
+        self.alarms = AlarmScheduler(self.loop, self.clock.now, self._run_decision_timers)
+        self.shared_state = SharedState(files.shared_state)
+        self.workers: dict[int, WorkerConnection] = {}
+        self.assignment = WorkerAssignment(document.agent.cores, document.appliances.connections)
         self.rows: dict[str, ListEntry] = {}
-        self.marks: dict[Appliance, str] = {}
+        self.instances: dict[Appliance, str] = {}
         self.addresses: dict[str, str] = {}
-        self._to_say: list[Callable[[], None]] = []
-        self._short = False  # the book has no room for all evidence
+        self._deferred: list[Callable[[], None]] = []  # actions from before the news connections exist
+        self._snapshot_truncated = False  # the shared state has no room for all evidence
         self.registry = None
         operations = build_operations(document)
-        self._index = {operation: at for at, operation in enumerate(operations)}
+        self._operation_index = {operation: place for place, operation in enumerate(operations)}
         settings = {**document.decision_settings(), "operations": operations}
         self.engine_host = DeciderEngineHost(self, settings, seed)
         self.operations = operations
@@ -166,12 +209,11 @@
                 stage_fence.fence.seen,
                 self.log_event,
                 agent.facts_most,
-                facts,
+                files.facts_lock,
             )
             stage_fence.on_follow = self.key_journal.record_decision
-            if (
-                self.book.state.get("stage") is None
-            ):  # the agent's first: what came before it is known by the file alone
+            # the agent's first decider: only the file knows what came before it
+            if self.shared_state.state.get("stage") is None:
                 self.engine_host.restore(self.key_journal.recalled)
         self._restore()
         self.registry, self.conveyor, self.peers = make_control_plane_clients(
@@ -182,222 +224,220 @@
             self.log_event,
             self.chance,
             session_limits(document),
-            tap,
+            files.tap,
             stage_fence,
         )
 
     def _restore(self) -> None:
-        """What the one before wrote down."""
-        book, agent, now = self.book, self.engine_host.engine.agent, self.clock.now()
-        sends = trusted(
-            book.exposures(), now, self.engine_host.settings["window"] + 2 * self.engine_host.settings["tick"]
-        )
-        for when, operation in sends:
+        """Restores what the decider before wrote into the shared state."""
+        shared, agent, now = self.shared_state, self.engine_host.engine.agent, self.clock.now()
+        window = self.engine_host.settings["window"] + 2 * self.engine_host.settings["tick"]
+        exposures = exposures_in_window(shared.exposures(), now, window)
+        for when, operation in exposures:
             agent.exposure_budgets[self.operations[operation]].sends.append([when, 0])
-        if (told := book.state.get("stage")) is not None:
-            build, number, phase, cap, since = told
-            agent.bound_keys_incomplete = book.state.get("forgot", False)
+        if (recorded := shared.state.get("stage")) is not None:
+            build, number, phase, cap, since = recorded
+            agent.bound_keys_incomplete = shared.state.get("forgot", False)
             self.engine_host.apply_stage(Stage(build, number, phase, cap, max(0, now - since)))
-            agent.bound_keys = book.keys()
-            put_back(agent, self.operations, book.state.get("mind", {}))
-            if (vote := book.state.get("vote")) is not None and tuple(vote[:2]) == (build, number):
+            agent.bound_keys = shared.bound_keys()
+            restore_snapshot(agent, self.operations, shared.state.get("mind", {}))
+            if (vote := shared.state.get("vote")) is not None and tuple(vote[:2]) == (build, number):
                 agent.current_vote = tuple(vote)
             self.log_event(
-                "restored", exposures=len(sends), keys=len(agent.bound_keys), build=build, stage=number
+                "restored", exposures=len(exposures), keys=len(agent.bound_keys), build=build, stage=number
             )
 
-    # ---- its life ----
+    def _run_decision_timers(self) -> None:
+        self.engine_host.run_timers()
+
+    # ---- start and heartbeat ----
     def start_up(self) -> None:
+        """Connects to the registry and the conveyor."""
         self.registry.start()
-        for act in self._to_say:
+        for act in self._deferred:
             act()
         self.conveyor.start()
-        self._beat()
+        self._heartbeat()
         self.log_event("deciding")
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         stalled = self.clock.measure_stall()
         if stalled:
             self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
-        for member in self.members.values():
-            member.pipe.send([say.PULSE])
-        self._keep()
-        self.loop.call_later(self.clock.heartbeat / 1e6, self._beat)
-
-    def _keep(self) -> None:
-        """Evidence since the last beat is lost with this process; votes are written down as they are cast."""
-        mind = kept(self.engine_host.engine.agent, self.operations)
-        if mind != self.book.state.get("mind"):
+        for worker in self.workers.values():
+            worker.pipe.send([messages.DECIDER_HEARTBEAT])
+        self._save_snapshot()
+        self.loop.call_later(self.clock.heartbeat / 1e6, self._heartbeat)
+
+    def _save_snapshot(self) -> None:
+        """Writes the evidence; what came since the last heartbeat is lost with this process.
+
+        Votes are written when they are cast.
+        """
+        snapshot = take_snapshot(self.engine_host.engine.agent, self.operations)
+        if snapshot != self.shared_state.state.get("mind"):
             try:
-                self.book.put(mind=mind)
+                self.shared_state.put(mind=snapshot)
             except ValueError as error:
-                self.book.put(mind={**mind, "judges": [], "times": []})
-                if not self._short:
-                    self._short = True
+                self.shared_state.put(mind={**snapshot, "judges": [], "times": []})
+                if not self._snapshot_truncated:
+                    self._snapshot_truncated = True
                     self.log_event("book_short", level="warning", why=str(error))
 
-    def meet(self, number: int, sock: Any) -> None:
-        """A carrying part, old or new."""
-        if number in self.members:
-            self._lost(self.members[number])
-        member = WorkerConnection(number, None, self.division.joined(number, self.clock.now()))
-        member.pipe = Pipe(sock, partial(self._heard, member), partial(self._lost, member))
-        self.members[number] = member
-
-    def _lost(self, member: WorkerConnection) -> None:
-        """A part that has gone owes nothing; what it had out may have run, and stays counted."""
-        if self.members.get(member.number) is not member:
+    # ---- workers ----
+    def connect_worker(self, number: int, sock: Any) -> None:
+        """Takes up the connection to a worker, in place of the one before."""
+        if number in self.workers:
+            self._on_worker_lost(self.workers[number])
+        worker = WorkerConnection(number, None, self.assignment.add_worker(number, self.clock.now()))
+        worker.pipe = Pipe(sock, partial(self._on_message, worker), partial(self._on_worker_lost, worker))
+        self.workers[number] = worker
+
+    def _on_worker_lost(self, worker: WorkerConnection) -> None:
+        """Gives up the calls of a worker that has ended.
+
+        Its open dispatches may have run and stay counted.
+        """
+        if self.workers.get(worker.number) is not worker:
             return
-        del self.members[member.number]
-        self.division.lost(member.number)
-        member.pipe.close()
+        del self.workers[worker.number]
+        self.assignment.remove_worker(worker.number)
+        worker.pipe.close()
         self.log_event(
             "part_lost",
-            level="info" if member.leaving else "warning",
-            lost=member.number,
-            held=len(member.invocations),
+            level="info" if worker.draining else "warning",
+            lost=worker.number,
+            held=len(worker.invocations),
         )
-        for invocation in list(member.invocations.values()):
+        for invocation in list(worker.invocations.values()):
             self.engine_host.client_left(invocation)
             for dispatch in invocation.dispatches:
                 if dispatch.result is None:
-                    self._bound(member, invocation.key, dispatch.appliance.build)
+                    self._on_key_bound(worker, invocation.key, dispatch.appliance.build)
                     self.engine_host.dispatch_ended(dispatch, ours.CANCELLED)
 
-    # ---- what parts say ----
-    def _heard(self, member: WorkerConnection, message: list) -> None:
-        member.share.heard = self.clock.now()
-        self._NEWS[message[0]](self, member, *message[1:])
+    # ---- messages from workers ----
+    def _on_message(self, worker: WorkerConnection, message: Message) -> None:
+        worker.load.last_heard = self.clock.now()
+        self._HANDLERS[message[0]](self, worker, *message[1:])
 
-    def _hello(self, member: WorkerConnection, number: int) -> None:
-        whole = [self._row(row) for row in self.rows.values() if row.state != ours.GONE]
-        if whole:
-            member.pipe.send([say.ROWS, "whole", whole])
+    def _on_hello(self, worker: WorkerConnection, number: int) -> None:
+        rows = [self._row_message(row) for row in self.rows.values() if row.state != ours.GONE]
+        if rows:
+            worker.pipe.send([messages.APPLIANCE_LIST, "whole", rows])
         if (stage := self.engine_host.engine.agent.stage) is not None:
-            member.pipe.send(self._stage_message(stage))
-        member.pipe.send([say.PULSE])
-
-    def _take(self, member: WorkerConnection, invocation_id: int, operation: int, *facts: Any) -> None:
-        act = partial(self._taken, member, invocation_id, self.operations[operation], *facts)
-        if self.engine_host.settings["one_way"] and facts[3]:
-            # behind whatever other parts had said of the key before its client could know: that is read a turn later
-            self.loop.add_callback(self.loop.add_callback, act)
+            worker.pipe.send(self._stage_message(stage))
+        worker.pipe.send([messages.DECIDER_HEARTBEAT])
+
+    def _on_invocation(self, worker: WorkerConnection, *fields: Any) -> None:
+        message = InvocationMessage(*fields)
+        take = partial(self._take, worker, message)
+        if self.engine_host.settings["one_way"] and message.key:
+            # two turns later: by then the decider has read every report on the key that a worker had sent
+            # before the client could know of the answer
+            self.loop.add_callback(self.loop.add_callback, take)
         else:
-            act()
+            take()
 
-    def _taken(
-        self,
-        member: WorkerConnection,
-        invocation_id: int,
-        operation: Any,
-        arrived: int,
-        limit: int,
-        customer: str,
-        key: str | None,
-        hint: int,
-        retry: bool,
-        write: bool,
-    ) -> None:
-        if self.members.get(member.number) is not member or invocation_id in member.invocations:
+    def _take(self, worker: WorkerConnection, message: InvocationMessage) -> None:
+        if self.workers.get(worker.number) is not worker or message.invocation in worker.invocations:
             return
-        member.invocations[invocation_id] = self.engine_host.accept(
-            RemoteCall(member, invocation_id),
-            operation,
-            arrived,
-            limit,
-            invocation_id=invocation_id,
-            customer=customer,
-            key=key,
-            work_hint=hint,
-            retry=retry,
-            write=write,
+        worker.invocations[message.invocation] = self.engine_host.accept(
+            RemoteCall(worker, message.invocation),
+            self.operations[message.operation],
+            message.arrived,
+            message.limit,
+            invocation_id=message.invocation,
+            customer=message.customer,
+            key=message.key,
+            work_hint=message.hint,
+            retry=message.retry,
+            write=message.write,
         )
-        member.tidy(invocation_id)
+        worker.forget_if_done(message.invocation)
 
-    def _left(self, member: WorkerConnection, invocation_id: int) -> None:
-        invocation = member.invocations.get(invocation_id)
+    def _on_withdraw(self, worker: WorkerConnection, invocation_id: int) -> None:
+        invocation = worker.invocations.get(invocation_id)
         if invocation is not None:
             self.engine_host.client_left(invocation)
-            member.tidy(invocation_id)
-
-    def _ended(
-        self,
-        member: WorkerConnection,
-        invocation_id: int,
-        number: int,
-        how: int,
-        load: dict | None,
-        passed: bool,
-        lag: int,
-        given: bool,
-    ) -> None:
-        invocation = member.invocations.get(invocation_id)
-        if invocation is None or number >= len(invocation.dispatches):
+            worker.forget_if_done(invocation_id)
+
+    def _on_dispatch_ended(self, worker: WorkerConnection, *fields: Any) -> None:
+        report = DispatchReport(*fields)
+        invocation = worker.invocations.get(report.invocation)
+        if invocation is None or report.number >= len(invocation.dispatches):
             return
-        dispatch = invocation.dispatches[number]
-        call, name = self.engine_host.calls.get(invocation), OUTCOMES[how]
+        dispatch = invocation.dispatches[report.number]
+        call, outcome = self.engine_host.calls.get(invocation), OUTCOMES[report.outcome]
         if call is not None:
-            call.answer, call.given = number, given
-        self.engine_host.lag = lag
-        self.engine_host.dispatch_ended(
-            dispatch, name, load, ((), [], ()) if name == ours.SUCCEEDED else None, passed
-        )
+            call.answer_dispatch, call.answered = report.number, report.answered
+        self.engine_host.lag = report.lag
+        answer = ((), [], ()) if outcome == ours.SUCCEEDED else None
+        self.engine_host.dispatch_ended(dispatch, outcome, report.load, answer, report.passed)
         self.engine_host.lag = 0
-        member.tidy(invocation_id)
+        worker.forget_if_done(report.invocation)
 
-    def _begun(self, member: WorkerConnection, invocation_id: int) -> None:
-        invocation = member.invocations.get(invocation_id)
+    def _on_stream_started(self, worker: WorkerConnection, invocation_id: int) -> None:
+        invocation = worker.invocations.get(invocation_id)
         if invocation is not None:
             invocation.streaming = True
 
-    def _may(self, member: WorkerConnection, invocation_id: int, number: int) -> None:
-        """A grant was not used in time; it counts from now, if it may still go."""
-        invocation, goes = member.invocations.get(invocation_id), False
+    def _on_renew_grant(self, worker: WorkerConnection, invocation_id: int, number: int) -> None:
+        """Renews a grant that was not used in time: the dispatch counts from now, if it may still be sent."""
+        invocation, may_send = worker.invocations.get(invocation_id), False
         if invocation is not None and number < len(invocation.dispatches):
             dispatch = invocation.dispatches[number]
-            goes = self.engine_host.may_send(dispatch) and self._booked(dispatch)
-        member.pipe.send([say.MAY_GO, invocation_id, number, goes, self.engine_host.engine.now])
+            may_send = self.engine_host.may_send(dispatch) and self._record_dispatch(dispatch)
+        worker.pipe.send(
+            [messages.GRANT_RENEWED, invocation_id, number, may_send, self.engine_host.engine.now]
+        )
 
-    def _probed(self, member: WorkerConnection, mark: str | None, answered: bool, took: int, load: dict | None) -> None:
+    def _on_probe_result(
+        self, worker: WorkerConnection, instance: str | None, answered: bool, took: int, load: dict | None
+    ) -> None:
         appliance = next(
-            (a for a in self.engine_host.appliance_list.appliances.values() if self.marks.get(a) == mark),
+            (
+                listed
+                for listed in self.engine_host.appliance_list.appliances.values()
+                if self.instances.get(listed) == instance
+            ),
             None,
         )
         if appliance is not None:
             self.engine_host.probe_ended(appliance, answered, took, load)
 
-    def _told(self, member: WorkerConnection, message: bytes) -> None:
+    def _on_peer_message(self, worker: WorkerConnection, message: bytes) -> None:
         try:
             self.peers.heard(message)
         except MalformedError as error:
             self.log_event("message_bad", level="debug", why=str(error))
 
-    def _bound(self, member: WorkerConnection, key: str | None, build: int) -> None:
+    def _on_key_bound(self, worker: WorkerConnection, key: str | None, build: int) -> None:
         agent = self.engine_host.engine.agent
-        if binds(self.engine_host.settings, agent.stage, key, build):
+        if may_bind_key(self.engine_host.settings, agent.stage, key, build):
             agent.bound_keys[key] = max(build, agent.bound_keys.get(key, 0))
-            self._write_down(key, build)
-
-    def _member_beat(self, member: WorkerConnection, leaving: bool) -> None:
-        if leaving and not member.leaving:
-            member.leaving = True
-            self.division.lost(member.number)
-
-    _NEWS: dict[int, Callable[..., None]] = {
-        say.HELLO: _hello,
-        say.TAKE: _take,
-        say.LEFT: _left,
-        say.ENDED: _ended,
-        say.BEGUN: _begun,
-        say.MAY: _may,
-        say.PROBED: _probed,
-        say.TOLD: _told,
-        say.BOUND: _bound,
-        say.BEAT: _member_beat,
+            self._record_key(key, build)
+
+    def _on_heartbeat(self, worker: WorkerConnection, draining: bool) -> None:
+        if draining and not worker.draining:
+            worker.draining = True
+            self.assignment.remove_worker(worker.number)
+
+    _HANDLERS: ClassVar[dict[int, Callable[..., None]]] = {
+        messages.HELLO: _on_hello,
+        messages.INVOCATION: _on_invocation,
+        messages.WITHDRAW: _on_withdraw,
+        messages.DISPATCH_ENDED: _on_dispatch_ended,
+        messages.STREAM_STARTED: _on_stream_started,
+        messages.RENEW_GRANT: _on_renew_grant,
+        messages.PROBE_RESULT: _on_probe_result,
+        messages.PEER_MESSAGE: _on_peer_message,
+        messages.KEY_BOUND: _on_key_bound,
+        messages.HEARTBEAT: _on_heartbeat,
     }
 
-    # ---- what parts are told ----
-    def _row(self, row: ListEntry) -> list:
+    # ---- messages to workers ----
+    def _row_message(self, row: ListEntry) -> list[Any]:
         return [
             row.id,
             row.build,
@@ -411,120 +451,131 @@
             self.addresses.get(row.id, ""),
         ]
 
-    def tell_rows(self, how: str, rows: list[ListEntry], changed: list[Appliance]) -> None:
+    def send_list(self, how: str, rows: list[ListEntry], changed: list[Appliance]) -> None:
+        """Sends the workers a list or the changes of one, and forgets appliances that are gone."""
         for appliance in changed:
             if appliance.state == ours.GONE:
-                self.marks.pop(appliance, None)
+                self.instances.pop(appliance, None)
                 if self.engine_host.appliance_list.appliances.get(appliance.id) is appliance:
                     self.rows.pop(appliance.id, None)
         if how in (ours.DELTA, ours.SNAPSHOT, ours.CACHED):
-            text = [
-                say.ROWS,
+            message = [
+                messages.APPLIANCE_LIST,
                 ours.DELTA if how == ours.DELTA else ours.SNAPSHOT,
-                [self._row(row) for row in rows],
+                [self._row_message(row) for row in rows],
             ]
-            for member in self.members.values():
-                member.pipe.send(text)
+            for worker in self.workers.values():
+                worker.pipe.send(message)
 
-    def _stage_message(self, stage: Stage) -> list:
+    def _stage_message(self, stage: Stage) -> Message:
         return [
-            say.STAGE,
+            messages.STAGE,
             stage.build,
             stage.number,
             stage.phase,
             max(0, self.clock.now() - self.engine_host.engine.agent.stage_since),
         ]
 
-    def tell_stage(self, told: Stage) -> None:
+    def send_stage(self, received: Stage) -> None:
+        """Records a new stage and sends it to the workers."""
         agent = self.engine_host.engine.agent
         stage = agent.stage
-        if stage is not told:  # a vote's refusal brings no news
+        if stage is not received:  # a refused vote brings no new stage
             return
         state = [stage.build, stage.number, stage.phase, stage.cap, agent.stage_since]
-        if self.book.state.get("stage") != state:
-            if (self.book.state.get("stage") or [None])[0] != stage.build:
-                self.book.keep_keys(agent.bound_keys.items())
-            self.book.put(stage=state, forgot=agent.bound_keys_incomplete)
-            for member in self.members.values():
-                member.pipe.send(self._stage_message(stage))
-
-    # ---- the book ----
-    def _booked(self, dispatch: Dispatch) -> bool:
-        """A dispatch that counts, or may bind its key, is written down before anybody is told of it. False: the book has
-        no room."""
+        if self.shared_state.state.get("stage") != state:
+            if (self.shared_state.state.get("stage") or [None])[0] != stage.build:
+                self.shared_state.replace_keys(agent.bound_keys.items())
+            self.shared_state.put(stage=state, forgot=agent.bound_keys_incomplete)
+            for worker in self.workers.values():
+                worker.pipe.send(self._stage_message(stage))
+
+    # ---- the shared state ----
+    def _record_dispatch(self, dispatch: Dispatch) -> bool:
+        """Records a dispatch that counts towards the cap or may bind its key, before any worker knows of it.
+
+        Returns:
+            False if the shared state has no room: the dispatch must not be sent.
+        """
         key, build = dispatch.invocation.key, dispatch.appliance.build
-        if binds(self.engine_host.settings, self.engine_host.engine.agent.stage, key, build):
-            self._write_down(key, build)
+        if may_bind_key(self.engine_host.settings, self.engine_host.engine.agent.stage, key, build):
+            self._record_key(key, build)
         if dispatch.decision_state is not None:
             when = dispatch.decision_state[0]
-            if (
-                self.book.full_since()
-                > when - self.engine_host.settings["window"] - 2 * self.engine_host.settings["tick"]
-            ):
+            window = self.engine_host.settings["window"] + 2 * self.engine_host.settings["tick"]
+            if self.shared_state.oldest_exposure() > when - window:
                 return False
-            self.book.exposed(when, self._index[dispatch.invocation.operation])
+            self.shared_state.add_exposure(when, self._operation_index[dispatch.invocation.operation])
         return True
 
-    def _write_down(self, key: str, build: int) -> None:
-        """For the next deciding part, and for the agent's next life."""
-        self.book.bound(key, build)
+    def _record_key(self, key: str, build: int) -> None:
+        """Records a bound key for the next decider and, in the agent's own file, for its next start."""
+        self.shared_state.bind_key(key, build)
         if self.key_journal is not None:
             self.key_journal.record_binding(key, build)
 
-    # ---- the World ----
+    # ---- surroundings of the decisions ----
     def now(self) -> int:
+        """Returns the time in microseconds."""
         return self.clock.now()
 
     def schedule_alarm(self, due: int) -> None:
+        """Wakes the decisions at a time."""
         self.alarms.schedule(due)
 
     def run_soon(self, do: Callable[[], None]) -> None:
+        """Calls a function in the next loop turn."""
         self.loop.add_callback(do)
 
     def start(self, dispatch: Dispatch, call: RemoteCall) -> RemoteAttempt:
-        invocation, member = dispatch.invocation, call.member
-        carrier = self.division.carrier(member.share, dispatch.appliance.id, self.clock.now())
-        carrier.out += 1
-        if self._booked(dispatch):
-            member.pipe.send(
-                [
-                    say.DISPATCH,
-                    invocation.id,
-                    dispatch.number,
-                    self.marks.get(dispatch.appliance, ""),
-                    dispatch.timeout,
-                    self.engine_host.engine.now,
-                    carrier.number,
-                ]
+        """Gives the owner of the call a grant for a dispatch, and chooses the worker that sends it."""
+        invocation, worker = dispatch.invocation, call.worker
+        sender = self.assignment.choose_sender(worker.load, dispatch.appliance.id, self.clock.now())
+        sender.open_dispatches += 1
+        if self._record_dispatch(dispatch):
+            order = DispatchOrder(
+                invocation.id,
+                dispatch.number,
+                self.instances.get(dispatch.appliance, ""),
+                dispatch.timeout,
+                self.engine_host.engine.now,
+                sender.number,
             )
+            worker.pipe.send([messages.DISPATCH, *order])
         else:
             self.log_event("book_full", level="error")
             self.loop.add_callback(self.engine_host.dispatch_ended, dispatch, ours.OBSOLETE)
-        return RemoteAttempt(call, dispatch, carrier)
+        return RemoteAttempt(call, dispatch, sender)
 
     def probe(self, appliance: Appliance) -> None:
-        share = self.division.prober(appliance.id, self.clock.now())
-        if share is not None and share.number in self.members:
-            self.members[share.number].pipe.send([say.PROBE, self.marks.get(appliance, "")])
+        """Lets a worker probe an appliance."""
+        load = self.assignment.choose_prober(appliance.id, self.clock.now())
+        if load is not None and load.number in self.workers:
+            self.workers[load.number].pipe.send([messages.PROBE, self.instances.get(appliance, "")])
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
-        self.book.put(vote=[build, stage, verdict])
+        """Records a vote, so that the next decider does not cast it again, and casts it."""
+        self.shared_state.put(vote=[build, stage, verdict])
         self.conveyor.vote(build, stage, verdict)
 
     def subscribe(self) -> None:
+        """Subscribes to the registry's list, as soon as there is a connection to do so."""
         if self.registry is None:
-            self._to_say.append(self.subscribe)
+            self._deferred.append(self.subscribe)
         else:
             self.registry.subscribe()
 
     def fetch_list(self) -> None:
+        """Fetches the whole list from the registry."""
         self.registry.fetch()
 
     def message(self, to: int | None, figures: list[int]) -> None:
+        """Sends figures to another agent; None sends them to all."""
         self.peers.message(to, figures)
 
     def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
+        """Logs an event."""
         write_event(self.log, event, level, **facts)
 
-    # ---- as the registry's Links ----
-    def retire_gone(self, changed: list[Appliance]) -> None: ...
+    def retire_gone(self, changed: list[Appliance]) -> None:
+        """Does nothing: the registry's news expects it of connections to appliances, which workers have."""
--- a/cartweir/cores/pipe.py
+++ b/cartweir/cores/pipe.py
@@ -1,4 +1,4 @@
-"""What two parts of one agent say to each other: batches of small lists over a socket pair, one batch a turn."""
+"""Connection between two processes of one agent: messages over a socket pair, one batch a loop turn."""
 
 from __future__ import annotations
 
@@ -9,50 +9,61 @@
 import msgpack
 from tornado.ioloop import IOLoop
 
-CHUNK = 256 * 1024
-PATIENCE = 0.002  # seconds
-# From a carrying part to the deciding one.
-HELLO, TAKE, LEFT, ENDED, BEGUN, MAY, PROBED, TOLD, BOUND, BEAT = range(10)
-# From the deciding part to a carrying one.
-DISPATCH, CANCEL, ANSWER, MAY_GO, PROBE, ROWS, STAGE, PULSE = range(20, 28)
-# Between carrying parts.
-CARRY, DROP, HEAD, PIECE, ROOM, CARRIED, AGAIN, GOES = range(40, 48)
+CHUNK_SIZE = 256 * 1024  # bytes read or written at once
+SOCKET_BUFFER = 1 << 20  # bytes
+MAX_RECEIVE_BUFFER = 1 << 30  # bytes
+MAX_DELAY = 0.002  # seconds that a message that is not urgent may wait for others
+
+Message = list[Any]
 
 
 class Pipe:
-    """Owns the socket. `heard` is called with each message in order, `lost` once, when the other side has gone."""
+    """One end of a connection to another process.
 
-    def __init__(self, sock: socket.socket, heard: Callable[[list], None], lost: Callable[[], None]) -> None:
+    Args:
+        sock: Its socket, which the pipe owns from now on.
+        on_message: Called with each message, in order.
+        on_closed: Called once, when the connection has ended.
+    """
+
+    def __init__(
+        self, sock: socket.socket, on_message: Callable[[Message], None], on_closed: Callable[[], None]
+    ) -> None:
         sock.setblocking(False)
-        self._sock, self._heard, self._lost = sock, heard, lost
-        self._unpacker = msgpack.Unpacker(raw=False, max_buffer_size=1 << 30, use_list=True)
-        self._batch: list[list] = []
+        self._sock, self._on_message, self._on_closed = sock, on_message, on_closed
+        self._unpacker = msgpack.Unpacker(raw=False, max_buffer_size=MAX_RECEIVE_BUFFER, use_list=True)
+        self._batch: list[Message] = []
         self._unsent = bytearray()
-        self._scheduled = self.closed = False
-        self._later: Any = None
+        self._flush_scheduled = self.closed = False
+        self._delayed_flush: Any = None
         self._writing = False
         self._loop = IOLoop.current()
-        self._loop.add_handler(sock, self._event, IOLoop.READ)
+        self._loop.add_handler(sock, self._on_event, IOLoop.READ)
+
+    def send(self, message: Message, urgent: bool = True) -> None:
+        """Sends a message behind those before it, at the end of the loop turn.
 
-    def send(self, message: list, urgent: bool = True) -> None:
-        """Goes out at the end of the turn, behind whatever was said before; what is not urgent waits for something
-        that is, though no longer than PATIENCE: each wake-up of the other side costs more than many messages."""
+        A message that is not urgent waits for an urgent one, for `MAX_DELAY` at most: waking the other
+            process costs
+        more than many messages.
+        """
         if self.closed:
             return
         self._batch.append(message)
-        if self._scheduled:
+        if self._flush_scheduled:
             return
         if urgent:
-            self._scheduled = True
+            self._flush_scheduled = True
             self._loop.add_callback(self.flush)
-        elif self._later is None:
-            self._later = self._loop.call_later(PATIENCE, self.flush)
+        elif self._delayed_flush is None:
+            self._delayed_flush = self._loop.call_later(MAX_DELAY, self.flush)
 
     def flush(self) -> None:
-        self._scheduled = False
-        if self._later is not None:
-            self._loop.remove_timeout(self._later)
-            self._later = None
+        """Sends at once what waits for the end of the turn."""
+        self._flush_scheduled = False
+        if self._delayed_flush is not None:
+            self._loop.remove_timeout(self._delayed_flush)
+            self._delayed_flush = None
         if self.closed or not self._batch:
             return
         batch, self._batch = self._batch, []
@@ -62,13 +73,14 @@
 
     @property
     def unsent(self) -> int:
+        """Bytes that the socket has not taken yet."""
         return len(self._unsent)
 
     def _write(self) -> None:
         try:
             while self._unsent:
                 with memoryview(self._unsent) as view:
-                    sent = self._sock.send(view[:CHUNK])
+                    sent = self._sock.send(view[:CHUNK_SIZE])
                 del self._unsent[:sent]
         except BlockingIOError:
             pass
@@ -80,13 +92,13 @@
             self._writing = writing
             self._loop.update_handler(self._sock, IOLoop.READ | (IOLoop.WRITE if writing else 0))
 
-    def _event(self, sock: socket.socket, events: int) -> None:
+    def _on_event(self, sock: socket.socket, events: int) -> None:
         if events & IOLoop.WRITE:
             self._write()
         if self.closed or not events & ~IOLoop.WRITE:
             return
         try:
-            data = self._sock.recv(CHUNK)
+            data = self._sock.recv(CHUNK_SIZE)
         except BlockingIOError:
             return
         except OSError:
@@ -99,26 +111,27 @@
             for message in batch:
                 if self.closed:
                     return
-                self._heard(message)
+                self._on_message(message)
 
     def close(self) -> None:
-        """The other side hears of it; so does the owner, at its next turn."""
+        """Closes the connection; `on_closed` is called in the next loop turn."""
         if not self.closed:
             self.flush()
-        if not self.closed:  # which flush() may have done
+        if not self.closed:  # flush() closes the pipe when it cannot write
             self.closed = True
             self._loop.remove_handler(self._sock)
             self._sock.close()
-            self._loop.add_callback(self._lost)
+            self._loop.add_callback(self._on_closed)
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
-    """Raises OSError."""
+def create_socket_pair() -> tuple[socket.socket, socket.socket]:
+    """Returns two connected sockets with large buffers.
+
+    Raises:
+        OSError: If the sockets cannot be created.
+    """
     one, other = socket.socketpair()
     for sock in (one, other):
         for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
-            sock.setsockopt(socket.SOL_SOCKET, option, 1 << 20)
+            sock.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER)
     return one, other
-
-
-Message = list[Any]
--- a/cartweir/cores/process.py
+++ b/cartweir/cores/process.py
@@ -1,4 +1,4 @@
-"""One part as a process: what the supervisor and it say to each other, its loop, its life."""
+"""One child process of an agent on several cores: its start, its event loop and its supervisor channel."""
 
 from __future__ import annotations
 
@@ -33,90 +33,132 @@
 from ..hosting.graceful_shutdown import GracefulShutdown
 from ..settings.schema import AgentDocument
 from ..wire.tap import FileTap
-from .decider import Decider
-from .dispatcher import Dispatcher
-from .division import accept_after
+from .decider import SEED_STRIDE, Decider, DeciderFiles
+from .dispatcher import Dispatcher, DispatcherConfig
 from .pipe import Pipe
+from .standalone import accept_delay
 
-DECIDER = 0  # its number; carrying parts count from 1
-LIVES = 1 << 18  # of links and of invocations: numbers that one life of one part may use
+DECIDER = 0  # number of the decider's process; workers count from 1
+
+# Numbers of invocations, and of connections in the tap file, that one generation of one process may use. The
+# audit takes the process and its generation from the number of a connection.
+IDS_PER_GENERATION = 1 << 18
+TAP_GENERATIONS = 256
+TAP_PROCESS_SHIFT = 26
+
+MAX_CONTROL_MESSAGE = 4096  # bytes
+MAX_CONTROL_FILES = 4  # descriptors that come with one message
+EXIT_WITHOUT_SUPERVISOR = 1  # exit code
 
 
 @dataclass(frozen=True, slots=True)
-class Role:
-    """What a part is started with. control: its end of the supervisor's socket; files: of the book; facts: the lock of the agent's
-    own file."""
+class ProcessConfig:
+    """What a child process is started with.
+
+    Attributes:
+        number: `DECIDER`, or the number of a worker.
+        generation: How often this child has been started, from 1.
+        document: The agent's settings.
+        control: The child's end of the socket to the supervisor.
+        listening: The socket that accepts clients.
+        files: Descriptors of the shared state.
+        tap: File that records the traffic on the sockets.
+        facts_lock: Lock on the agent's file of bound keys, which outlives the agent; the shared state does
+            not.
+    """
 
     number: int
-    life: int
+    generation: int
     document: AgentDocument
     control: socket.socket
     listening: socket.socket
     files: tuple[int, int, int]
     tap: Path | None
-    facts: IO[str] | None = None
+    facts_lock: IO[str] | None = None
 
     def open_tap(self) -> FileTap | None:
-        first = (self.number << 26) + (self.life % 256) * LIVES
+        """Opens the tap file, with connection numbers that no other process or generation uses."""
+        first = (self.number << TAP_PROCESS_SHIFT) + (self.generation % TAP_GENERATIONS) * IDS_PER_GENERATION
         return FileTap(self.tap, first) if self.tap else None
 
 
-class Control:
-    """The part's end: a beat at each heartbeat, from the loop itself, so that a loop that stands still is not heard.
-    `told` is called with each message and its file descriptors."""
+class SupervisorChannel:
+    """The child's end of the socket to the supervisor.
+
+    Heartbeats are sent by the event loop itself, so that none is sent while the loop is blocked.
+
+    Args:
+        sock: The child's end.
+        heartbeat: Interval of the heartbeats in microseconds.
+        on_message: Called with each message and the descriptors that came with it.
+
+    Attributes:
+        heartbeat_tasks: Functions called before each heartbeat.
+    """
 
-    def __init__(self, sock: socket.socket, heartbeat: int, told: Callable[[dict, list[int]], None]) -> None:
-        self.sock, self.heartbeat, self.told = sock, heartbeat, told
+    def __init__(
+        self, sock: socket.socket, heartbeat: int, on_message: Callable[[dict, list[int]], None]
+    ) -> None:
+        self.sock, self.heartbeat, self.on_message = sock, heartbeat, on_message
         self.loop = IOLoop.current()
-        self.beats: list[Callable[[], None]] = []
+        self.heartbeat_tasks: list[Callable[[], None]] = []
         sock.setblocking(False)
-        self.loop.add_handler(sock, self._event, IOLoop.READ)
-        self._beat()
+        self.loop.add_handler(sock, self._on_event, IOLoop.READ)
+        self._send_heartbeat()
 
-    def _beat(self) -> None:
-        for beat in self.beats:
-            beat()
-        self.say(beat=True)
-        self.loop.call_later(self.heartbeat / 1e6, self._beat)
+    def _send_heartbeat(self) -> None:
+        for task in self.heartbeat_tasks:
+            task()
+        self.send(heartbeat=True)
+        self.loop.call_later(self.heartbeat / 1e6, self._send_heartbeat)
 
-    def say(self, **facts: Any) -> None:
+    def send(self, **fields: Any) -> None:
+        """Sends a message; ends the process if the supervisor has gone, with which the agent ends."""
         try:
-            self.sock.send(json.dumps(facts).encode())
+            self.sock.send(json.dumps(fields).encode())
         except BlockingIOError:
-            pass  # the supervisor stands still; it reckons with that
+            pass  # the supervisor itself runs late and allows for it
         except OSError:
-            os._exit(1)  # it is gone, and so is the agent
+            os._exit(EXIT_WITHOUT_SUPERVISOR)
 
-    def _event(self, sock: socket.socket, events: int) -> None:
+    def _on_event(self, sock: socket.socket, events: int) -> None:
         try:
-            data, files, _, _ = socket.recv_fds(sock, 4096, 4)
+            data, files, _, _ = socket.recv_fds(sock, MAX_CONTROL_MESSAGE, MAX_CONTROL_FILES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            os._exit(1)
-        self.told(json.loads(data), files)
+            os._exit(EXIT_WITHOUT_SUPERVISOR)
+        self.on_message(json.loads(data), files)
 
 
 class WorkerProcess:
-    """A carrying part."""
+    """A worker: owns connections to clients and appliances, and carries calls between them.
 
-    def __init__(self, role: Role, log: Any) -> None:
-        document, agent = role.document, role.document.agent
-        self.role, self.log, self.parts = role, log, agent.cores
+    Attributes:
+        ended: Set once the process may exit.
+    """
+
+    def __init__(self, config: ProcessConfig, log: Any) -> None:
+        document, agent = config.document, config.document.agent
+        self.config, self.log, self.workers = config, log, agent.cores
         self.clock = Clock(agent.heartbeat, arrival_selector(asyncio.get_running_loop()))
-        tap = role.open_tap()
+        tap = config.open_tap()
         self.appliance_pools = AppliancePools(
             appliance_options(document, agent.cores), self.clock.now, self.log_event, tap
         )
         operations = build_operations(document)
         settings = {**document.decision_settings(), "operations": operations}
-        # numbers of invocations that no other part and no other life uses
-        idents = itertools.count((role.life * agent.cores + role.number - 1) * LIVES + 1)
-        seed = (agent.seed or int.from_bytes(os.urandom(4), "big")) * 1000 + role.number
+        # numbers of invocations that no other worker and no other generation uses
+        first_id = (config.generation * agent.cores + config.number - 1) * IDS_PER_GENERATION + 1
+        seed = (agent.seed or int.from_bytes(os.urandom(4), "big")) * SEED_STRIDE + config.number
         self.dispatcher = self.appliance_pools.engine_host = Dispatcher(
-            role.number, agent.cores, settings, self.clock, self.appliance_pools, self.log_event, idents, seed
+            DispatcherConfig(config.number, agent.cores, settings, seed),
+            self.clock,
+            self.appliance_pools,
+            self.log_event,
+            itertools.count(first_id),
         )
         bounds = front_limits(document)
         bounds.connections = math.ceil(bounds.connections / agent.cores)
@@ -126,7 +168,7 @@
             bounds,
             self.clock,
             self.log_event,
-            {PEER_MESSAGE_PATH: self.dispatcher.tell} if document.allowed.may_message else {},
+            {PEER_MESSAGE_PATH: self.dispatcher.forward_peer_message} if document.allowed.may_message else {},
             tap,
         )
         self.ended = asyncio.Event()
@@ -140,43 +182,50 @@
             self._end,
             self.log_event,
         )
-        self.control = Control(role.control, agent.heartbeat, self._told)
-        self.control.beats += [self.dispatcher.beat, self._stalls]
+        self.control = SupervisorChannel(config.control, agent.heartbeat, self._on_control_message)
+        self.control.heartbeat_tasks += [self.dispatcher.send_heartbeat, self._check_stall]
 
     def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
+        """Logs an event."""
         write_event(self.log, event, level, **facts)
 
-    def _stalls(self) -> None:
+    def _check_stall(self) -> None:
         stalled = self.clock.measure_stall()
         if stalled:
             self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
 
-    def _told(self, message: dict, files: list[int]) -> None:
-        if "meet" in message:
-            self._meet(message["meet"], message["life"], socket.socket(fileno=files[0]))
+    def _on_control_message(self, message: dict, files: list[int]) -> None:
+        if "connect" in message:
+            self._connect(message["connect"], message["generation"], socket.socket(fileno=files[0]))
         elif "drain" in message:
             self.on_signal()
 
-    def _meet(self, number: int, life: int, sock: socket.socket) -> None:
+    def _connect(self, number: int, generation: int, sock: socket.socket) -> None:
+        """Takes up a pipe to the decider or to another worker, in place of the one before."""
         if number == DECIDER:
             if self.dispatcher.decider is not None:
                 self.dispatcher.decider.close()
-                self.dispatcher.parted(self.dispatcher.life)
-            self.dispatcher.meet(Pipe(sock, self.dispatcher.hear, partial(self.dispatcher.parted, life)), life)
+                self.dispatcher.disconnect_decider(self.dispatcher.decider_generation)
+            pipe = Pipe(
+                sock, self.dispatcher.on_message, partial(self.dispatcher.disconnect_decider, generation)
+            )
+            self.dispatcher.connect_decider(pipe, generation)
             return
         forwarding = self.dispatcher.forwarding
         if (old := forwarding.pipes.get(number)) is not None:
             old.close()
-        pipe = Pipe(sock, partial(forwarding.heard, number), lambda: forwarding.lost(pipe))
+        pipe = Pipe(sock, partial(forwarding.on_message, number), lambda: forwarding.on_worker_lost(pipe))
         forwarding.pipes[number] = pipe
 
     def start_up(self) -> None:
-        self.front.accept_from([self.role.listening], accept_after)
-        self.control.say(ready=True)
+        """Accepts clients from now on."""
+        self.front.accept_from([self.config.listening], accept_delay)
+        self.control.send(ready=True)
 
     def on_signal(self) -> None:
-        self.dispatcher.leaving = True
-        self.dispatcher.beat()
+        """Drains; at a second call, answers all open calls at once."""
+        self.dispatcher.draining = True
+        self.dispatcher.send_heartbeat()
         self.shutdown.on_signal()
 
     def _end(self) -> None:
@@ -187,47 +236,55 @@
 
 
 class DeciderProcess:
-    """The deciding part."""
+    """The process that decides for all workers.
 
-    def __init__(self, role: Role, log: Any) -> None:
-        self.decider = Decider(role.document, log, role.files, role.life, role.open_tap(), role.facts)
+    Attributes:
+        ended: Set once the process may exit.
+    """
+
+    def __init__(self, config: ProcessConfig, log: Any) -> None:
+        files = DeciderFiles(config.files, config.open_tap(), config.facts_lock)
+        self.decider = Decider(config.document, log, config.generation, files)
         self.ended = asyncio.Event()
-        self.control = Control(role.control, role.document.agent.heartbeat, self._told)
+        self.control = SupervisorChannel(
+            config.control, config.document.agent.heartbeat, self._on_control_message
+        )
         self.log_event = self.decider.log_event
 
-    def _told(self, message: dict, files: list[int]) -> None:
-        if "meet" in message:
-            self.decider.meet(message["meet"], socket.socket(fileno=files[0]))
+    def _on_control_message(self, message: dict, files: list[int]) -> None:
+        if "connect" in message:
+            self.decider.connect_worker(message["connect"], socket.socket(fileno=files[0]))
         elif "end" in message:
             self.ended.set()
 
     def start_up(self) -> None:
+        """Starts to decide."""
         self.decider.start_up()
-        self.control.say(ready=True)
+        self.control.send(ready=True)
 
     def on_signal(self) -> None:
-        """Another one takes its place."""
+        """Ends at once; the supervisor starts another decider unless the agent ends."""
         self.ended.set()
 
 
-async def _live(role: Role) -> None:
-    document = role.document
-    log = make_logger(document.log.format, document.log.level, part=role.number)
-    part = (DeciderProcess if role.number == DECIDER else WorkerProcess)(role, log)
+async def _run(config: ProcessConfig) -> None:
+    document = config.document
+    log = make_logger(document.log.format, document.log.level, part=config.number)
+    process = (DeciderProcess if config.number == DECIDER else WorkerProcess)(config, log)
     running = asyncio.get_running_loop()
-    running.set_exception_handler(lambda _, context: log_unhandled_exception(part.log_event, context))
-    running.add_signal_handler(signal.SIGTERM, part.on_signal)
-    part.start_up()
-    await part.ended.wait()
+    running.set_exception_handler(lambda _, context: log_unhandled_exception(process.log_event, context))
+    running.add_signal_handler(signal.SIGTERM, process.on_signal)
+    process.start_up()
+    await process.ended.wait()
     await asyncio.sleep(0)
 
 
-def live(role: Role) -> int:
-    """A part's whole life, in the process that was forked for it. Returns its exit code."""
-    if role.number != DECIDER:
-        # each accepts from the same queue by a descriptor of its own
-        role = replace(role, listening=role.listening.dup())
-        role.listening.setblocking(False)
+def run_process(config: ProcessConfig) -> int:
+    """Runs a child from start to end in the process that was forked for it; returns its exit code."""
+    if config.number != DECIDER:
+        # each worker accepts from the same queue by a descriptor of its own
+        config = replace(config, listening=config.listening.dup())
+        config.listening.setblocking(False)
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(_live(role))
+        runner.run(_run(config))
     return 0
--- a/cartweir/cores/snapshot.py
+++ b/cartweir/cores/snapshot.py
@@ -1,5 +1,7 @@
-"""What of the decisions' memory is written into the book at each beat, and put back into those that start anew: the
-evidence of the judge, the votes, the bounds. Copying alone."""
+"""Copies the memory of the decisions into the shared state at each heartbeat, and back into a new decider.
+
+It holds the evidence on builds, the votes and the limits. The keys of the map are fixed.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +12,27 @@
 from ..logic import RESPONSE_TIME_EDGES, Agent
 from ..state import Histogram
 
-_FIELDS = ("totals", "blocks", "counts", "failures", "last_earlier")
+HISTOGRAM_LIMIT = 400  # answers in a histogram of response times; it is halved at this count
+
+# Attributes of a stream of evidence, in the order in which they are written.
+_STREAM_FIELDS = ("totals", "blocks", "counts", "failures", "last_earlier")
 
 
-def kept(agent: Agent, operations: Sequence[Operation]) -> dict[str, Any]:
-    """Plain lists and numbers. Operations are told by their place."""
-    index = {operation: at for at, operation in enumerate(operations)}
+def take_snapshot(agent: Agent, operations: Sequence[Operation]) -> dict[str, Any]:
+    """Returns the memory as plain lists and numbers; an operation is named by its place in `operations`."""
+    index = {operation: place for place, operation in enumerate(operations)}
     return {
         "votes": agent.is_voter,
         "spare": agent.retry_budget,
         "limit": agent.concurrency_limit,
         "undecided": agent.undecided_since,
         "judges": [
-            [index.get(operation), list(stream), *(_plain(getattr(judge, name)) for name in _FIELDS)]
-            for (operation, stream), judge in agent.evidence.streams.items()
+            [
+                index.get(operation),
+                list(stream),
+                *(_plain(getattr(counts, name)) for name in _STREAM_FIELDS),
+            ]
+            for (operation, stream), counts in agent.evidence.streams.items()
         ],
         "times": [
             [kind, list(times.bins), times.total] for kind, times in agent.evidence.response_times.items()
@@ -31,21 +40,21 @@
     }
 
 
-def put_back(agent: Agent, operations: Sequence[Operation], state: dict[str, Any]) -> None:
-    """state: of kept(), or a part of it; of the same stage."""
-    agent.is_voter = state.get("votes", agent.is_voter)
-    agent.retry_budget = min(agent.retry_budget, state.get("spare", agent.retry_budget))
-    agent.concurrency_limit = max(agent.concurrency_limit, state.get("limit", 0.0))
-    agent.undecided_since = state.get("undecided", 0)
-    for at, stream, *values in state.get("judges", ()):
-        key = (None if at is None else operations[at], tuple(stream))
-        agent.evidence.add(*key, False, 0, 0)  # makes it as the decisions make theirs
-        judge = agent.evidence.streams[key]
-        for name, value in zip(_FIELDS, values):
-            setattr(judge, name, tuple(value) if name == "last_earlier" else value)
-    for kind, bins, total in state.get("times", ()):
+def restore_snapshot(agent: Agent, operations: Sequence[Operation], snapshot: dict[str, Any]) -> None:
+    """Puts a snapshot of the same stage back; parts of it may be missing."""
+    agent.is_voter = snapshot.get("votes", agent.is_voter)
+    agent.retry_budget = min(agent.retry_budget, snapshot.get("spare", agent.retry_budget))
+    agent.concurrency_limit = max(agent.concurrency_limit, snapshot.get("limit", 0.0))
+    agent.undecided_since = snapshot.get("undecided", 0)
+    for place, stream, *values in snapshot.get("judges", ()):
+        key = (None if place is None else operations[place], tuple(stream))
+        agent.evidence.add(*key, False, 0, 0)  # creates the stream as the decisions do
+        counts = agent.evidence.streams[key]
+        for name, value in zip(_STREAM_FIELDS, values, strict=False):
+            setattr(counts, name, tuple(value) if name == "last_earlier" else value)
+    for kind, bins, total in snapshot.get("times", ()):
         if len(bins) == len(RESPONSE_TIME_EDGES) + 1:
-            times = agent.evidence.response_times[kind] = Histogram(RESPONSE_TIME_EDGES, 400)
+            times = agent.evidence.response_times[kind] = Histogram(RESPONSE_TIME_EDGES, HISTOGRAM_LIMIT)
             times.bins, times.total = bins, total
 
 
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -1,4 +1,4 @@
-"""One agent of several parts: what goes wrong between them, caused on real sockets within one process."""
+"""An agent on several cores: faults between its processes, caused on real sockets within one process."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import pytest
 from peers import ISSUE, ORDER, TILES, VIEW, answer, framed, large, nothing
 from test_calls import sockets
-from worker_harness import parts, until
+from worker_harness import run_agent, until
 
-from cartweir.cores import division
-from cartweir.cores import pipe as say
+from cartweir.cores import messages
+from cartweir.cores.assignment import FRESHNESS
 from cartweir.proto import agent_pb2 as pb
 
 TRIAL = (2, 0, pb.ON_TRIAL, 1.0)
 
 
 def when(event):
-    """Answers once the event is set."""
+    """Returns an act that answers once the event is set."""
 
     async def act(who, peer, stream, number):
         await event.wait()
@@ -32,61 +32,63 @@
     peer.h2.reset_stream(stream, 2)
 
 
-async def finish(*calls):
+async def wait_for_answers(*calls):
     for call in calls:
         await call.done.wait()
     return calls[0]
 
 
-# ---- the ordinary path ----
+# ---- without faults ----
 @sockets
-async def test_each_part_takes_and_answers(tmp_path):
-    async with parts(tmp_path, answer, answer) as it:
-        for part in (1, 2):
-            got = await finish((await it.client(part)).call(VIEW))
+async def test_each_worker_accepts_and_answers_calls(tmp_path):
+    async with run_agent(tmp_path, answer, answer) as agent:
+        for worker in (1, 2):
+            got = await wait_for_answers((await agent.connect_client(worker)).call(VIEW))
             assert (got.status, got.body, got.ends) == ("0", framed(b"fine"), 1)
-        idents = [request["cartweir-dispatch"] for a in it.appliances for request in a.requests]
-        assert len(set(idents)) == 2
-        await until(lambda: not any(member.invocations for member in it.decider.members.values()))
-        assert all(not part.dispatcher.cases and part.dispatcher.held == 0 for part in it.parts)
+        dispatch_ids = [request["cartweir-dispatch"] for a in agent.appliances for request in a.requests]
+        assert len(set(dispatch_ids)) == 2
+        await until(lambda: not any(connection.invocations for connection in agent.decider.workers.values()))
+        assert all(not worker.dispatcher.pending and worker.dispatcher.held == 0 for worker in agent.workers)
 
 
 @sockets
-async def test_one_connection_uses_the_links_of_all_parts(tmp_path):
+async def test_calls_of_one_client_connection_are_sent_by_all_workers(tmp_path):
     go = asyncio.Event()
-    async with parts(tmp_path, *[when(go)] * 4, cores=3, wire="") as it:
-        client = await it.client(1)
-        it.decider.engine_host.engine.agent.concurrency_limit = 200.0
+    async with run_agent(tmp_path, *[when(go)] * 4, cores=3, wire="") as agent:
+        client = await agent.connect_client(1)
+        agent.decider.engine_host.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for _ in range(60)]
-        await until(lambda: sum(len(a.requests) for a in it.appliances) == 60)
+        await until(lambda: sum(len(a.requests) for a in agent.appliances) == 60)
         used = {
-            part.number for part in it.parts if any(pool.open for pool in part.appliance_pools.pools.values())
+            worker.number
+            for worker in agent.workers
+            if any(pool.open for pool in worker.appliance_pools.pools.values())
         }
         assert used == {1, 2, 3}
         go.set()
-        await finish(*calls)
+        await wait_for_answers(*calls)
         assert all((call.status, call.body, call.ends) == ("0", framed(b"fine"), 1) for call in calls)
 
 
 @sockets
-async def test_parts_together_keep_to_the_connections_of_an_appliance(tmp_path):
+async def test_workers_together_keep_to_the_connection_limit_of_an_appliance(tmp_path):
     go = asyncio.Event()
-    async with parts(tmp_path, when(go), when(go), cores=3, appliances="connections = 1") as it:
-        it.decider.engine_host.engine.agent.concurrency_limit = 200.0
-        calls = [(await it.client(part)).call(VIEW) for part in (1, 2, 3) for _ in range(8)]
-        await until(lambda: sum(len(a.requests) for a in it.appliances) == 24)
-        assert [len(a.peers) for a in it.appliances] == [1, 1]
+    async with run_agent(tmp_path, when(go), when(go), cores=3, appliances="connections = 1") as agent:
+        agent.decider.engine_host.engine.agent.concurrency_limit = 200.0
+        calls = [(await agent.connect_client(worker)).call(VIEW) for worker in (1, 2, 3) for _ in range(8)]
+        await until(lambda: sum(len(a.requests) for a in agent.appliances) == 24)
+        assert [len(a.peers) for a in agent.appliances] == [1, 1]
         go.set()
-        await finish(*calls)
+        await wait_for_answers(*calls)
         assert all(call.status == "0" for call in calls)
 
 
 @sockets
-async def test_a_large_answer_passes_from_part_to_part(tmp_path):
+async def test_a_large_answer_is_forwarded_between_workers(tmp_path):
     size = 4 << 20
-    async with parts(tmp_path, large(size), large(size), cores=2, appliances="connections = 1") as it:
-        client = await it.client(1)
-        got = await finish(
+    async with run_agent(tmp_path, large(size), large(size), cores=2, appliances="connections = 1") as agent:
+        client = await agent.connect_client(1)
+        got = await wait_for_answers(
             client.call(TILES, timeout="9S"),
             client.call(TILES, timeout="9S"),
             client.call(VIEW, timeout="9S"),
@@ -97,127 +99,127 @@
 
 # ---- grants ----
 @sockets
-async def test_cap_falls_while_a_grant_is_on_its_way(tmp_path):
-    async with parts(tmp_path, (answer, 2), stage=TRIAL, cores=2) as it:
-        part, client = it.parts[0], await it.client(1)
-        part.deaf()
+async def test_a_grant_is_not_used_if_the_cap_falls_before_the_worker_reads_it(tmp_path):
+    async with run_agent(tmp_path, (answer, 2), stage=TRIAL, cores=2) as agent:
+        worker, client = agent.workers[0], await agent.connect_client(1)
+        worker.stop_reading_decider()
         call = client.call(VIEW, timeout="1S")
-        await until(lambda: it.book.exposures())  # granted, written down, and not heard
-        it.conveyor.tell(2, 0, pb.GOING_BACK, 0.0)
-        await until(lambda: it.decider.engine_host.engine.agent.stage.cap == 0.0)
+        await until(agent.recorded_exposures)  # granted and recorded, but not read by the worker
+        agent.conveyor.set_stage(2, 0, pb.GOING_BACK, 0.0)
+        await until(lambda: agent.decider.engine_host.engine.agent.stage.cap == 0.0)
         await asyncio.sleep(0.03)  # the grant is older than a tick
-        part.hears()
-        await finish(call)
-        assert call.tail["cartweir-answer"] == "throttled" and not it.appliances[0].requests
+        worker.resume_reading_decider()
+        await wait_for_answers(call)
+        assert call.tail["cartweir-answer"] == "throttled" and not agent.appliances[0].requests
 
 
 @sockets
-async def test_a_grant_that_is_late_but_still_good_is_used_and_counts_from_then(tmp_path):
-    async with parts(tmp_path, (answer, 2), stage=TRIAL, cores=2) as it:
-        part, client = it.parts[0], await it.client(1)
-        part.deaf()
+async def test_an_expired_grant_is_renewed_and_counts_from_the_renewal(tmp_path):
+    async with run_agent(tmp_path, (answer, 2), stage=TRIAL, cores=2) as agent:
+        worker, client = agent.workers[0], await agent.connect_client(1)
+        worker.stop_reading_decider()
         call = client.call(VIEW)
-        await until(lambda: it.book.exposures())
+        await until(agent.recorded_exposures)
         await asyncio.sleep(0.05)
-        part.hears()
-        await finish(call)
-        assert call.status == "0" and len(it.appliances[0].requests) == 1
-        sends = it.decider.engine_host.engine.agent.exposure_budgets[it.decider.operations[0]].sends
-        (first, _), (second, _) = it.book.exposures()
+        worker.resume_reading_decider()
+        await wait_for_answers(call)
+        assert call.status == "0" and len(agent.appliances[0].requests) == 1
+        sends = agent.decider.engine_host.engine.agent.exposure_budgets[agent.decider.operations[0]].sends
+        (first, _), (second, _) = agent.recorded_exposures()
         assert second > first + 40_000 and [send[0] for send in sends] == [second]
 
 
 @sockets
-async def test_drain_told_while_a_part_does_not_hear(tmp_path):
-    async with parts(tmp_path, answer, answer, cores=2) as it:
-        part, client = it.parts[0], await it.client(1)
-        part.deaf()
+async def test_grants_for_appliances_that_drain_meanwhile_are_not_used(tmp_path):
+    async with run_agent(tmp_path, answer, answer, cores=2) as agent:
+        worker, client = agent.workers[0], await agent.connect_client(1)
+        worker.stop_reading_decider()
         calls = [client.call(VIEW) for _ in range(2)]
-        member = it.decider.members[1]
+        connection = agent.decider.workers[1]
         await until(
-            lambda: sum(len(invocation.dispatches) for invocation in member.invocations.values()) == 2
+            lambda: sum(len(invocation.dispatches) for invocation in connection.invocations.values()) == 2
         )
-        for appliance in it.appliances:
-            it.set(appliance, pb.DRAINING)
-        await until(lambda: not it.decider.engine_host.engine.agent.fleet)
-        third = await it.add(answer)
-        await until(lambda: it.decider.engine_host.engine.agent.fleet)
+        for appliance in agent.appliances:
+            agent.set_state(appliance, pb.DRAINING)
+        await until(lambda: not agent.decider.engine_host.engine.agent.fleet)
+        third = await agent.add_appliance(answer)
+        await until(lambda: agent.decider.engine_host.engine.agent.fleet)
         await asyncio.sleep(0.03)
-        part.hears()
-        await finish(*calls)
-        assert [len(a.requests) for a in it.appliances] == [0, 0, 2] and third.requests
+        worker.resume_reading_decider()
+        await wait_for_answers(*calls)
+        assert [len(a.requests) for a in agent.appliances] == [0, 0, 2] and third.requests
 
 
 @sockets
-async def test_parts_race_for_the_last_token(tmp_path):
-    """Both clients' calls are with the deciding part in one turn, where but one dispatch may go in 4 s."""
-    async with parts(tmp_path, (answer, 2), stage=(2, 0, pb.ON_TRIAL, 0.01), cores=2) as it:
-        clients = [await it.client(1), await it.client(2)]
+async def test_two_workers_do_not_both_get_the_last_token_of_the_cap(tmp_path):
+    """The decider gets both calls in one loop turn, while the cap allows one dispatch in 4 s."""
+    async with run_agent(tmp_path, (answer, 2), stage=(2, 0, pb.ON_TRIAL, 0.01), cores=2) as agent:
+        clients = [await agent.connect_client(1), await agent.connect_client(2)]
         calls = [client.call(VIEW, timeout="1S") for client in clients]
-        await finish(*calls)
-        assert len(it.appliances[0].requests) == 1
+        await wait_for_answers(*calls)
+        assert len(agent.appliances[0].requests) == 1
         assert sorted(call.status for call in calls) == ["0", "8"]
 
 
 @sockets
-async def test_deciding_part_that_starts_anew_counts_what_the_last_one_granted(tmp_path):
-    async with parts(tmp_path, (answer, 2), stage=(2, 0, pb.ON_TRIAL, 0.01), cores=2) as it:
-        client = await it.client(1)
-        await finish(client.call(VIEW))
-        it.decider_ends()
-        it.decide()
-        assert it.log.of("restored")[-1]["exposures"] == 1
-        got = await finish(client.call(VIEW, timeout="1S"))
-        assert got.status == "8" and len(it.appliances[0].requests) == 1
+async def test_a_new_decider_counts_the_grants_of_the_last_one(tmp_path):
+    async with run_agent(tmp_path, (answer, 2), stage=(2, 0, pb.ON_TRIAL, 0.01), cores=2) as agent:
+        client = await agent.connect_client(1)
+        await wait_for_answers(client.call(VIEW))
+        agent.kill_decider()
+        agent.start_decider()
+        assert agent.log.of("restored")[-1]["exposures"] == 1
+        got = await wait_for_answers(client.call(VIEW, timeout="1S"))
+        assert got.status == "8" and len(agent.appliances[0].requests) == 1
 
 
 @sockets
-async def test_evidence_outlives_the_deciding_part(tmp_path):
-    """A build that errs: what was seen of it before the restart counts towards the verdict behind it."""
-    async with parts(tmp_path, answer, answer, (reset, 2), stage=TRIAL, cores=2) as it:
-        client = await it.client(1)
-        while len(it.appliances[2].requests) < 3:
-            await finish(client.call(VIEW))
-        await asyncio.sleep(0.12)  # a beat later it is written down
-        worst = it.decider.engine_host.engine.agent.evidence.strongest()
-        before, told = worst.log_ratio(), str(worst)
+async def test_evidence_outlives_the_decider(tmp_path):
+    """Failures of a build seen before the decider's restart count towards the vote after agent."""
+    async with run_agent(tmp_path, answer, answer, (reset, 2), stage=TRIAL, cores=2) as agent:
+        client = await agent.connect_client(1)
+        while len(agent.appliances[2].requests) < 3:
+            await wait_for_answers(client.call(VIEW))
+        await asyncio.sleep(0.12)  # longer than a heartbeat: the evidence is in the shared state
+        strongest_before = agent.decider.engine_host.engine.agent.evidence.strongest()
+        before, description = strongest_before.log_ratio(), str(strongest_before)
         assert before > 0.5
-        it.decider_ends()
-        it.decide()
-        after = it.decider.engine_host.engine.agent.evidence.strongest()
-        assert (after.log_ratio(), str(after)) == (before, told)
+        agent.kill_decider()
+        agent.start_decider()
+        after = agent.decider.engine_host.engine.agent.evidence.strongest()
+        assert (after.log_ratio(), str(after)) == (before, description)
 
 
 @sockets
-async def test_a_vote_is_not_cast_again_by_whoever_decides_next(tmp_path):
-    async with parts(tmp_path, answer, (answer, 2), stage=TRIAL, cores=2) as it:
-        agent = it.decider.engine_host.engine.agent
-        agent.is_voter = True
-        agent.plan("on")
-        await until(lambda: it.log.of("vote"))
+async def test_a_new_decider_does_not_repeat_the_vote_of_the_last_one(tmp_path):
+    async with run_agent(tmp_path, answer, (answer, 2), stage=TRIAL, cores=2) as agent:
+        decisions = agent.decider.engine_host.engine.agent
+        decisions.is_voter = True
+        decisions.plan("on")
+        await until(lambda: agent.log.of("vote"))
         await asyncio.sleep(0.1)
-        it.decider_ends()
-        it.decide()
-        agent = it.decider.engine_host.engine.agent
-        assert agent.is_voter and agent.current_vote == (2, 0, "on")
+        agent.kill_decider()
+        agent.start_decider()
+        decisions = agent.decider.engine_host.engine.agent
+        assert decisions.is_voter and decisions.current_vote == (2, 0, "on")
 
 
 # ---- one answer, no effect twice ----
 @sockets
-async def test_side_effecting_dispatch_is_passed_on_though_nobody_decides_any_more(tmp_path):
+async def test_answer_to_a_side_effecting_call_is_passed_on_after_the_decider_has_ended(tmp_path):
     go = asyncio.Event()
-    async with parts(tmp_path, when(go), cores=2) as it:
-        call = (await it.client(1)).call(ISSUE)
-        await it.appliances[0].asked.wait()
-        it.decider_ends()
-        await until(lambda: it.parts[0].dispatcher.life == 0)
+    async with run_agent(tmp_path, when(go), cores=2) as agent:
+        call = (await agent.connect_client(1)).call(ISSUE)
+        await agent.appliances[0].asked.wait()
+        agent.kill_decider()
+        await until(lambda: agent.workers[0].dispatcher.decider_generation == 0)
         go.set()
-        await finish(call)
-        assert call.status == "0" and call.ends == 1 and len(it.appliances[0].requests) == 1
+        await wait_for_answers(call)
+        assert call.status == "0" and call.ends == 1 and len(agent.appliances[0].requests) == 1
 
 
 @sockets
-async def test_side_effecting_dispatch_that_fails_without_a_deciding_part_is_not_sent_again(tmp_path):
+async def test_dispatches_that_fail_after_the_decider_has_ended_are_not_sent_again(tmp_path):
     go = asyncio.Event()
 
     async def fails(who, peer, stream, number):
@@ -225,59 +227,70 @@
         peer.h2.reset_stream(stream, 2)
         peer.write()
 
-    async with parts(tmp_path, fails, fails, cores=2) as it:
-        client = await it.client(1)
+    async with run_agent(tmp_path, fails, fails, cores=2) as agent:
+        client = await agent.connect_client(1)
         calls = [client.call(ISSUE), client.call(VIEW)]
-        await until(lambda: sum(len(a.requests) for a in it.appliances) == 2)
-        it.decider_ends()
-        await until(lambda: it.parts[0].dispatcher.life == 0)
+        await until(lambda: sum(len(a.requests) for a in agent.appliances) == 2)
+        agent.kill_decider()
+        await until(lambda: agent.workers[0].dispatcher.decider_generation == 0)
         go.set()
-        await finish(*calls)
-        it.decide()
+        await wait_for_answers(*calls)
+        agent.start_decider()
         assert [call.tail["cartweir-answer"] for call in calls] == ["terminated", "throttled"]
-        assert sum(len(a.requests) for a in it.appliances) == 2
+        assert sum(len(a.requests) for a in agent.appliances) == 2
 
 
 @sockets
-async def test_carrier_dies_with_what_it_had_sent(tmp_path):
-    """Side-effecting: it may have run, and is not sent again. Idempotent: another part's links take it."""
-    async with parts(tmp_path, nothing, answer, cores=2, appliances="connections = 1") as it:
-        far = next(a for a in it.appliances if it.decider.division.may_carry(a.name) == frozenset({2}))
-        other = next(a for a in it.appliances if a is not far)
-        far.act, other.act = nothing, answer
-        it.set(other, pb.DRAINING)
-        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 1)
-        client = await it.client(1)
+async def test_dispatches_of_a_sender_that_dies_are_resent_only_if_idempotent(tmp_path):
+    """The sender's dispatches may have run: a side-effecting one is not sent again, an idempotent one is."""
+    async with run_agent(tmp_path, nothing, answer, cores=2, appliances="connections = 1") as agent:
+        sender_appliance = next(
+            a for a in agent.appliances if agent.decider.assignment.eligible_workers(a.name) == frozenset({2})
+        )
+        other = next(a for a in agent.appliances if a is not sender_appliance)
+        sender_appliance.act, other.act = nothing, answer
+        agent.set_state(other, pb.DRAINING)
+        await until(lambda: len(agent.decider.engine_host.engine.agent.fleet) == 1)
+        client = await agent.connect_client(1)
         calls = [client.call(ISSUE), client.call(VIEW)]
-        await until(lambda: len(far.requests) == 2)
+        await until(lambda: len(sender_appliance.requests) == 2)
         other.entry.run = 2
-        it.set(other, pb.READY)
-        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 2)
-        it.parts[1].end()
-        await finish(*calls)
+        agent.set_state(other, pb.READY)
+        await until(lambda: len(agent.decider.engine_host.engine.agent.fleet) == 2)
+        agent.workers[1].kill()
+        await wait_for_answers(*calls)
         assert calls[0].tail["cartweir-answer"] == "terminated"
         assert calls[1].status == "0" and len(other.requests) == 1
         assert [request[":path"] for request in other.requests] == [VIEW]
 
 
 @sockets
-async def test_holder_dies_and_what_is_carried_for_it_is_given_up(tmp_path):
-    async with parts(tmp_path, nothing, nothing, cores=2, appliances="connections = 1") as it:
-        client = await it.client(1)
+async def test_dispatches_sent_for_an_owner_that_dies_are_abandoned(tmp_path):
+    async with run_agent(tmp_path, nothing, nothing, cores=2, appliances="connections = 1") as agent:
+        client = await agent.connect_client(1)
         calls = [client.call(VIEW) for _ in range(2)]
-        far = next(a for a in it.appliances if it.decider.division.may_carry(a.name) == frozenset({2}))
-        await until(lambda: far.requests or all(call.done.is_set() for call in calls))
-        assert far.requests
-        it.parts[0].end()
-        await asyncio.wait_for(far.reset.wait(), 5)
-        await until(lambda: not it.parts[1].dispatcher.forwarding.carried and 1 not in it.decider.members)
-        assert it.decider.engine_host.engine.agent.open_dispatches == 0 and not it.decider.engine_host.calls
+        sender_appliance = next(
+            a for a in agent.appliances if agent.decider.assignment.eligible_workers(a.name) == frozenset({2})
+        )
+        await until(lambda: sender_appliance.requests or all(call.done.is_set() for call in calls))
+        assert sender_appliance.requests
+        agent.workers[0].kill()
+        await asyncio.wait_for(sender_appliance.reset.wait(), 5)
+        await until(
+            lambda: not agent.workers[1].dispatcher.forwarding.sending and 1 not in agent.decider.workers
+        )
+        assert (
+            agent.decider.engine_host.engine.agent.open_dispatches == 0
+            and not agent.decider.engine_host.calls
+        )
 
 
 @sockets
-async def test_the_same_mark_from_two_parts_reaches_the_appliance_as_it_was(tmp_path):
-    """The client tries again on another core while its first try is out: two invocations, which the appliance tells
-    for one by its client's mark; each part sends its own but once."""
+async def test_calls_with_one_mark_through_two_workers_reach_the_appliance_with_that_mark(tmp_path):
+    """A client that retries on another core while its first call is open makes two invocations.
+
+    The appliance recognises them by the client's mark as one; each worker sends its own only once.
+    """
     effects, go = set(), asyncio.Event()
 
     async def once(who, peer, stream, number):
@@ -286,249 +299,256 @@
         answer(who, peer, stream, number)
         peer.write()
 
-    async with parts(tmp_path, once, cores=2) as it:
-        first = (await it.client(1)).call(ORDER, x_mark="m1")
-        await it.appliances[0].asked.wait()
-        second = (await it.client(2)).call(ORDER, x_mark="m1", cartweir_retry="1")
-        await until(lambda: len(it.appliances[0].requests) == 2)
+    async with run_agent(tmp_path, once, cores=2) as agent:
+        first = (await agent.connect_client(1)).call(ORDER, x_mark="m1")
+        await agent.appliances[0].asked.wait()
+        second = (await agent.connect_client(2)).call(ORDER, x_mark="m1", cartweir_retry="1")
+        await until(lambda: len(agent.appliances[0].requests) == 2)
         go.set()
-        await finish(first, second)
+        await wait_for_answers(first, second)
         assert effects == {"m1"} and first.status == second.status == "0"
-        assert len(it.appliances[0].requests) == 2
+        assert len(agent.appliances[0].requests) == 2
 
 
 # ---- keys ----
 @pytest.fixture
-def keys_go_one_way(monkeypatch):
+def one_way_keys(monkeypatch):
     monkeypatch.setattr(peers, "SETTINGS", peers.SETTINGS.replace("[release]", "[release]\none_way = yes"))
 
 
 @sockets
-async def _keys(tmp_path, restart):
-    async with parts(tmp_path, (answer, 1), (answer, 2), stage=TRIAL, cores=2) as it:
-        clients, new = [await it.client(1), await it.client(2)], it.appliances[1]
+async def _use_keys_through_both_workers(tmp_path, restart):
+    async with run_agent(tmp_path, (answer, 1), (answer, 2), stage=TRIAL, cores=2) as agent:
+        clients, new = [await agent.connect_client(1), await agent.connect_client(2)], agent.appliances[1]
         answered, step = {}, 0
         while len(answered) < 6:  # until the trial has answered some keys
             key, client = f"k{step}", clients[step % 2]
             seen = len(new.requests)
-            await finish(client.call(VIEW, cartweir_key=key))
+            await wait_for_answers(client.call(VIEW, cartweir_key=key))
             if len(new.requests) > seen:
                 answered[key] = step % 2
             step += 1
         if restart:
-            it.decider_ends()
-            it.decide()
-            assert it.log.of("restored")[-1]["keys"] == len(answered)
-        old = len(it.appliances[0].requests)
+            agent.kill_decider()
+            agent.start_decider()
+            assert agent.log.of("restored")[-1]["keys"] == len(answered)
+        old = len(agent.appliances[0].requests)
         calls = [
-            clients[1 - part].call(VIEW, cartweir_key=key, timeout="1S") for key, part in answered.items()
+            clients[1 - worker].call(VIEW, cartweir_key=key, timeout="1S") for key, worker in answered.items()
         ]
-        await finish(*calls)
-        assert len(it.appliances[0].requests) == old
+        await wait_for_answers(*calls)
+        assert len(agent.appliances[0].requests) == old
 
 
-def test_a_key_seen_on_two_parts_stays_with_its_build(tmp_path, keys_go_one_way):
-    _keys(tmp_path, restart=False)
+def test_a_key_used_through_two_workers_stays_with_its_build(tmp_path, one_way_keys):
+    _use_keys_through_both_workers(tmp_path, restart=False)
 
 
-def test_bound_keys_outlive_the_deciding_part(tmp_path, keys_go_one_way):
-    _keys(tmp_path, restart=True)
+def test_bound_keys_outlive_the_decider(tmp_path, one_way_keys):
+    _use_keys_through_both_workers(tmp_path, restart=True)
 
 
 @sockets
-async def _orphan(tmp_path, dies):
-    """The new build has a key's invocation as the deciding part ends, and so, in the end, does the part that holds it:
-    nobody is left who knows of the answer, but for the book."""
+async def _end_decider_and_perhaps_owner(tmp_path, owner_dies):
+    """The decider ends while the new build works on a key's invocation; its owner may end as well.
+
+    In that pending only the shared state knows that the new build may have answered the key.
+    """
     go = asyncio.Event()
-    async with parts(tmp_path, (when(go), 2), stage=TRIAL, cores=2) as it:
-        call = (await it.client(1)).call(VIEW, cartweir_key="k1")
-        await it.appliances[0].asked.wait()
-        it.decider_ends()
-        await until(lambda: it.parts[0].dispatcher.life == 0)
-        if dies:
-            it.parts[0].end()
+    async with run_agent(tmp_path, (when(go), 2), stage=TRIAL, cores=2) as agent:
+        call = (await agent.connect_client(1)).call(VIEW, cartweir_key="k1")
+        await agent.appliances[0].asked.wait()
+        agent.kill_decider()
+        await until(lambda: agent.workers[0].dispatcher.decider_generation == 0)
+        if owner_dies:
+            agent.workers[0].kill()
         go.set()
-        if not dies:
-            await finish(call)
+        if not owner_dies:
+            await wait_for_answers(call)
             assert call.status == "0"
-        it.decide()
-        old = await it.add(answer, build=1)
-        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 2)
-        assert it.decider.engine_host.engine.agent.bound_keys == {"k1": 2}
-        client = await it.client(2)
-        await finish(*[client.call(VIEW, cartweir_key="k1", timeout="1S") for _ in range(6)])
+        agent.start_decider()
+        old = await agent.add_appliance(answer, build=1)
+        await until(lambda: len(agent.decider.engine_host.engine.agent.fleet) == 2)
+        assert agent.decider.engine_host.engine.agent.bound_keys == {"k1": 2}
+        client = await agent.connect_client(2)
+        await wait_for_answers(*[client.call(VIEW, cartweir_key="k1", timeout="1S") for _ in range(6)])
         assert not old.requests
-        assert (await finish(client.call(VIEW, cartweir_key="k2"))).status == "0"
+        assert (await wait_for_answers(client.call(VIEW, cartweir_key="k2"))).status == "0"
 
 
-def test_an_answer_passes_though_nobody_decides_and_its_key_stays_bound(tmp_path, keys_go_one_way):
-    _orphan(tmp_path, dies=False)
+def test_a_key_answered_without_a_decider_stays_bound(tmp_path, one_way_keys):
+    _end_decider_and_perhaps_owner(tmp_path, owner_dies=False)
 
 
-def test_a_key_stays_bound_though_all_who_knew_of_its_answer_died(tmp_path, keys_go_one_way):
-    _orphan(tmp_path, dies=True)
+def test_a_key_stays_bound_after_decider_and_owner_have_died(tmp_path, one_way_keys):
+    _end_decider_and_perhaps_owner(tmp_path, owner_dies=True)
 
 
 @sockets
-async def _holder_hears_nothing(tmp_path):
-    """The carrier has the new build's answer, and the part that holds the call stands still before it."""
-    async with parts(tmp_path, (answer, 2), stage=TRIAL, cores=2, appliances="connections = 1") as it:
-        (carrier,) = it.decider.division.may_carry(it.appliances[0].name)
-        holder = it.parts[2 - carrier]
-        pipe = holder.dispatcher.forwarding.pipes[carrier]
+async def _suspend_owner(tmp_path):
+    """The sender has the new build's answer while the owner of the call is suspended."""
+    async with run_agent(tmp_path, (answer, 2), stage=TRIAL, cores=2, appliances="connections = 1") as agent:
+        (sender,) = agent.decider.assignment.eligible_workers(agent.appliances[0].name)
+        owner = agent.workers[2 - sender]
+        pipe = owner.dispatcher.forwarding.pipes[sender]
         pipe._loop.remove_handler(pipe._sock)
-        call = (await it.client(holder.number)).call(VIEW, cartweir_key="k1", timeout="1S")
-        await until(lambda: it.decider.engine_host.engine.agent.bound_keys == {"k1": 2})
+        call = (await agent.connect_client(owner.number)).call(VIEW, cartweir_key="k1", timeout="1S")
+        await until(lambda: agent.decider.engine_host.engine.agent.bound_keys == {"k1": 2})
         assert not call.done.is_set()
-        pipe._loop.add_handler(pipe._sock, pipe._event, 1)
-        assert (await finish(call)).status == "0"
+        pipe._loop.add_handler(pipe._sock, pipe._on_event, 1)
+        assert (await wait_for_answers(call)).status == "0"
 
 
 @sockets
-async def _knows_better(tmp_path):
-    """The new build's answer is here, the deciding part has not read that yet, and sends a copy to the earlier one."""
-    async with parts(tmp_path, (answer, 2), stage=TRIAL, cores=2) as it:
-        old = await it.add(answer, build=1)
-        dispatcher, member = it.parts[0].dispatcher, it.decider.members[1]
-        await it.knows(lambda dispatcher: len(dispatcher.appliances) == 2)
-        it.set(old, pb.DRAINING)  # not for the decisions; the part may meet it
-        await until(lambda: len(it.decider.engine_host.engine.agent.fleet) == 1)
+async def _order_copy_after_answer(tmp_path):
+    """The worker has the new build's answer; the decider has not read that and orders a copy."""
+    async with run_agent(tmp_path, (answer, 2), stage=TRIAL, cores=2) as agent:
+        old = await agent.add_appliance(answer, build=1)
+        dispatcher, connection = agent.workers[0].dispatcher, agent.decider.workers[1]
+        await agent.until_all_workers(lambda dispatcher: len(dispatcher.appliances) == 2)
+        agent.set_state(old, pb.DRAINING)  # for the decisions; the worker is made to see it as ready
+        await until(lambda: len(agent.decider.engine_host.engine.agent.fleet) == 1)
         dispatcher.appliance_list.appliances[old.name].state = "ready"
-        heard, held = member.pipe._heard, []
-        member.pipe._heard = held.append
-        call = (await it.client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
-        await until(lambda: any(message[0] == say.TAKE for message in held))
-        while held:  # it is taken, and dispatched
-            heard(held.pop(0))
-        await until(lambda: any(case.answers for case in dispatcher.cases.values()))
-        ((invocation_id, case),) = dispatcher.cases.items()
+        handle, held = connection.pipe._on_message, []
+        connection.pipe._on_message = held.append
+        call = (await agent.connect_client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
+        await until(lambda: any(message[0] == messages.INVOCATION for message in held))
+        while held:  # the decider accepts it and orders the dispatch
+            handle(held.pop(0))
+        await until(lambda: any(pending.answers for pending in dispatcher.pending.values()))
+        ((invocation_id, _),) = dispatcher.pending.items()
         assert not call.done.is_set()
-        dispatcher.hear(
+        dispatcher.on_message(
             [
-                say.DISPATCH,
+                messages.DISPATCH,
                 invocation_id,
                 1,
-                dispatcher.marks[dispatcher.appliance_list.appliances[old.name]],
+                dispatcher.instances[dispatcher.appliance_list.appliances[old.name]],
                 500_000,
                 dispatcher.clock.now(),
                 0,
             ]
         )
-        await until(lambda: sum(message[0] == say.ENDED for message in held) == 2)
-        member.pipe._heard = heard
+        await until(lambda: sum(message[0] == messages.DISPATCH_ENDED for message in held) == 2)
+        connection.pipe._on_message = handle
         while held:
-            heard(held.pop(0))
-        assert (await finish(call)).status == "0" and not old.requests
+            handle(held.pop(0))
+        assert (await wait_for_answers(call)).status == "0" and not old.requests
 
 
-def test_no_copy_leaves_once_the_answer_is_here(tmp_path, keys_go_one_way):
-    _knows_better(tmp_path)
+def test_no_copy_is_sent_once_the_worker_has_the_answer(tmp_path, one_way_keys):
+    _order_copy_after_answer(tmp_path)
 
 
 @sockets
-async def _given_up_as_it_came(tmp_path):
-    """The deciding part gives up, and cancels, while the answer is on its way to it: the client gets the answer, and its
-    key is bound."""
+async def _give_up_as_answer_arrives(tmp_path):
+    """The decider gives up and cancels while the report of the answer is on its way to agent.
+
+    The client must get the answer, and its key must be bound.
+    """
     go = asyncio.Event()
-    async with parts(tmp_path, (when(go), 2), stage=TRIAL, cores=2) as it:
-        dispatcher, member = it.parts[0].dispatcher, it.decider.members[1]
-        call = (await it.client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
-        await it.appliances[0].asked.wait()
-        heard, held = member.pipe._heard, []
-        member.pipe._heard = held.append
+    async with run_agent(tmp_path, (when(go), 2), stage=TRIAL, cores=2) as agent:
+        dispatcher, connection = agent.workers[0].dispatcher, agent.decider.workers[1]
+        call = (await agent.connect_client(1)).call(VIEW, cartweir_key="k1", timeout="1S")
+        await agent.appliances[0].asked.wait()
+        handle, held = connection.pipe._on_message, []
+        connection.pipe._on_message = held.append
         go.set()
-        await until(lambda: any(case.answers for case in dispatcher.cases.values()))
-        (invocation,) = member.invocations.values()
-        it.decider.engine_host.throttle(invocation, 0)
-        it.decider.engine_host.cancel(invocation.dispatches[0])
+        await until(lambda: any(pending.answers for pending in dispatcher.pending.values()))
+        (invocation,) = connection.invocations.values()
+        agent.decider.engine_host.throttle(invocation, 0)
+        agent.decider.engine_host.cancel(invocation.dispatches[0])
         await until(lambda: invocation.dispatches[0].result if invocation.dispatches else True)
-        await until(lambda: any(message[0] == say.ENDED for message in held))
-        member.pipe._heard = heard
+        await until(lambda: any(message[0] == messages.DISPATCH_ENDED for message in held))
+        connection.pipe._on_message = handle
         while held:
-            heard(held.pop(0))
-        assert (await finish(call)).status == "0" and call.ends == 1
-        assert it.decider.engine_host.engine.agent.bound_keys == {"k1": 2}
+            handle(held.pop(0))
+        assert (await wait_for_answers(call)).status == "0" and call.ends == 1
+        assert agent.decider.engine_host.engine.agent.bound_keys == {"k1": 2}
 
 
-def test_an_answer_that_comes_as_it_is_given_up_on_is_given_and_binds(tmp_path, keys_go_one_way):
-    _given_up_as_it_came(tmp_path)
+def test_an_answer_that_arrives_as_the_decider_gives_up_is_passed_on_and_binds_its_key(
+    tmp_path, one_way_keys
+):
+    _give_up_as_answer_arrives(tmp_path)
 
 
-def test_a_key_is_bound_by_the_part_that_got_the_answer(tmp_path, keys_go_one_way):
-    _holder_hears_nothing(tmp_path)
+def test_a_key_is_bound_by_the_sender_that_got_the_answer(tmp_path, one_way_keys):
+    _suspend_owner(tmp_path)
 
 
-# ---- alone ----
+# ---- standalone ----
 @sockets
-async def test_alone_earlier_builds_are_served_and_nothing_else(tmp_path):
-    async with parts(tmp_path, (answer, 1), (answer, 2), stage=TRIAL, cores=2) as it:
-        cold = await it.add(answer)
-        it.registry._started[cold.name] = 1
-        await it.knows(lambda dispatcher: len(dispatcher.appliances) == 3)
-        for part in it.parts:  # it has started just now, and none is cold in these settings but by
-            part.dispatcher.settings = {
-                **part.dispatcher.settings,
+async def test_standalone_workers_use_only_warm_appliances_of_earlier_builds(tmp_path):
+    async with run_agent(tmp_path, (answer, 1), (answer, 2), stage=TRIAL, cores=2) as agent:
+        cold = await agent.add_appliance(answer)
+        agent.registry._started[cold.name] = 1
+        await agent.until_all_workers(lambda dispatcher: len(dispatcher.appliances) == 3)
+        # in these settings nothing is cold otherwise
+        for worker in agent.workers:
+            worker.dispatcher.settings = {
+                **worker.dispatcher.settings,
                 "cold_share": 0.3,
                 "warm_time": 60_000_000,
             }
-            part.dispatcher.appliance_list.appliances[cold.name].started = part.clock.now()
-        it.decider_ends()
-        await until(lambda: all(part.dispatcher.silence.alone for part in it.parts))
-        clients = [await it.client(1), await it.client(2)]
-        for part in it.parts:
-            part.dispatcher.understudy.engine.agent.concurrency_limit = 200.0
+            worker.dispatcher.appliance_list.appliances[cold.name].started = worker.clock.now()
+        agent.kill_decider()
+        await until(lambda: all(worker.dispatcher.monitor.standalone for worker in agent.workers))
+        clients = [await agent.connect_client(1), await agent.connect_client(2)]
+        for worker in agent.workers:
+            worker.dispatcher.standalone_host.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in clients for _ in range(20)]
-        await finish(*calls)
+        await wait_for_answers(*calls)
         assert {call.status for call in calls} == {"0"}
-        assert [len(a.requests) for a in it.appliances] == [40, 0, 0]
-        it.decide()
-        await it.knows(lambda dispatcher: not dispatcher.silence.alone)
-        assert (await finish(clients[0].call(VIEW))).status == "0"
+        assert [len(a.requests) for a in agent.appliances] == [40, 0, 0]
+        agent.start_decider()
+        await agent.until_all_workers(lambda dispatcher: not dispatcher.monitor.standalone)
+        assert (await wait_for_answers(clients[0].call(VIEW))).status == "0"
 
 
 @sockets
-async def test_what_waited_with_a_silent_deciding_part_is_taken_over(tmp_path):
-    """It stands still with calls that it has not dispatched; waking, it finds them withdrawn."""
-    async with parts(tmp_path, answer, cores=2) as it:
-        part, client, member = it.parts[0], await it.client(1), it.decider.members[1]
-        it.decider.loop.remove_handler(member.pipe._sock)  # it hears nothing,
-        it.decider._beat = lambda: None  # and says nothing
+async def test_calls_that_wait_for_a_silent_decider_are_served_standalone(tmp_path):
+    """The decider is suspended with calls that it has not dispatched; once it resumes, they are withdrawn."""
+    async with run_agent(tmp_path, answer, cores=2) as agent:
+        worker, client, connection = agent.workers[0], await agent.connect_client(1), agent.decider.workers[1]
+        agent.decider.loop.remove_handler(connection.pipe._sock)  # it reads nothing
+        agent.decider._heartbeat = lambda: None  # and sends nothing
         call = client.call(VIEW)
-        await finish(call)
-        assert call.status == "0" and len(it.appliances[0].requests) == 1
-        assert it.log.of("alone")
-        it.decider.loop.add_handler(member.pipe._sock, member.pipe._event, 1)
-        await until(lambda: not member.invocations and not part.dispatcher.cases)
+        await wait_for_answers(call)
+        assert call.status == "0" and len(agent.appliances[0].requests) == 1
+        assert agent.log.of("alone")
+        agent.decider.loop.add_handler(connection.pipe._sock, connection.pipe._on_event, 1)
+        await until(lambda: not connection.invocations and not worker.dispatcher.pending)
         await asyncio.sleep(0.05)
-        assert len(it.appliances[0].requests) == 1 and call.ends == 1
+        assert len(agent.appliances[0].requests) == 1 and call.ends == 1
 
 
 @sockets
-async def test_no_word_in_time_is_answered_by_the_part_itself(tmp_path):
-    """Nobody decides, and nothing may be met alone: the one answer still comes before the client's time is up."""
-    async with parts(tmp_path, (nothing, 2), stage=TRIAL, cores=2) as it:
-        client = await it.client(1)
+async def test_a_worker_answers_in_time_without_a_decider(tmp_path):
+    """Without a decider and without a usable appliance, each client suspended gets one answer in time."""
+    async with run_agent(tmp_path, (nothing, 2), stage=TRIAL, cores=2) as agent:
+        client = await agent.connect_client(1)
         out = client.call(ISSUE, timeout="500m")
-        await it.appliances[0].asked.wait()
-        it.decider_ends()
+        await agent.appliances[0].asked.wait()
+        agent.kill_decider()
         waits = client.call(VIEW, timeout="400m")
         began = asyncio.get_running_loop().time()
-        await finish(out, waits)
+        await wait_for_answers(out, waits)
         assert asyncio.get_running_loop().time() - began < 0.5
         assert out.tail["cartweir-answer"] == "terminated" and waits.tail["cartweir-answer"] == "throttled"
         assert out.ends == waits.ends == 1
 
 
 @sockets
-async def test_peers_of_a_part_that_stands_still_go_on(tmp_path):
-    async with parts(tmp_path, answer, answer, cores=3) as it:
+async def test_other_workers_go_on_while_one_is_suspended(tmp_path):
+    async with run_agent(tmp_path, answer, answer, cores=3) as agent:
         await asyncio.sleep(0.06)
-        still, others = it.parts[2], [await it.client(1), await it.client(2)]
-        still.deaf()
-        still.dispatcher.beat = lambda: None
-        it.decider.members[3].share.heard -= division.FRESH + 1
-        it.decider.engine_host.engine.agent.concurrency_limit = 200.0
+        suspended, others = agent.workers[2], [await agent.connect_client(1), await agent.connect_client(2)]
+        suspended.stop_reading_decider()
+        suspended.dispatcher.send_heartbeat = lambda: None
+        agent.decider.workers[3].load.last_heard -= FRESHNESS + 1
+        agent.decider.engine_host.engine.agent.concurrency_limit = 200.0
         calls = [client.call(VIEW) for client in others for _ in range(30)]
-        await finish(*calls)
+        await wait_for_answers(*calls)
         assert {call.status for call in calls} == {"0"}
-        still.hears()
+        suspended.resume_reading_decider()
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -1,4 +1,4 @@
-"""What outlives the deciding part: torn writes, growth, a full page, another version."""
+"""The memory that successive deciders share: torn writes, growth, a full page, another version."""
 
 from __future__ import annotations
 
@@ -10,80 +10,81 @@
 from hypothesis import strategies as st
 
 from cartweir.cores import shared_state as module
-from cartweir.cores.shared_state import ROWS, SharedState, new_files
+from cartweir.cores.shared_state import EXPOSURE_CAPACITY, SharedState, new_files
 
 
 @pytest.fixture
 def files():
-    found = new_files()
-    yield found
-    for file in found:
+    created = new_files()
+    yield created
+    for file in created:
         os.close(file)
 
 
-def test_what_was_written_is_read_by_the_next(files):
-    one = SharedState(files)
-    one.exposed(5, 1)
-    one.exposed(9, 0)
-    one.bound("k1", 2)
-    one.bound("k1", 3)
-    one.put(stage=[2, 0, "on trial", 0.1, 77])
-    other = SharedState(files)
-    assert other.exposures() == [(5, 1), (9, 0)] and other.keys() == {"k1": 3}
-    assert other.state["stage"] == [2, 0, "on trial", 0.1, 77]
+def test_the_next_decider_reads_what_the_last_one_wrote(files):
+    writer = SharedState(files)
+    writer.add_exposure(5, 1)
+    writer.add_exposure(9, 0)
+    writer.bind_key("k1", 2)
+    writer.bind_key("k1", 3)
+    writer.put(stage=[2, 0, "on trial", 0.1, 77])
+    reader = SharedState(files)
+    assert reader.exposures() == [(5, 1), (9, 0)] and reader.bound_keys() == {"k1": 3}
+    assert reader.state["stage"] == [2, 0, "on trial", 0.1, 77]
 
 
-def test_rows_wrap_and_say_how_far_back_they_reach(files):
-    one = SharedState(files)
-    for when in range(ROWS + 10):
-        one.exposed(when, 0)
-    assert one.full_since() == 10 and one.exposures()[0] == (10, 0) and len(one.exposures()) == ROWS
+def test_old_exposures_are_overwritten_and_the_oldest_kept_one_is_reported(files):
+    shared = SharedState(files)
+    for when in range(EXPOSURE_CAPACITY + 10):
+        shared.add_exposure(when, 0)
+    assert shared.oldest_exposure() == 10
+    assert shared.exposures()[0] == (10, 0) and len(shared.exposures()) == EXPOSURE_CAPACITY
 
 
-def test_keys_grow_and_are_kept_anew(files):
-    one, chance = SharedState(files), random.Random(1)
+def test_the_key_file_grows_and_its_keys_can_be_replaced(files):
+    shared, chance = SharedState(files), random.Random(1)
     wanted = {f"key {n} {'x' * chance.randrange(60)}": n % 5 for n in range(5000)}
     for key, build in wanted.items():
-        one.bound(key, build)
-    assert SharedState(files).keys() == wanted
-    one.keep_keys([("k", 4)])
-    assert SharedState(files).keys() == {"k": 4}
-    one.bound("m", 5)
-    assert SharedState(files).keys() == {"k": 4, "m": 5}
+        shared.bind_key(key, build)
+    assert SharedState(files).bound_keys() == wanted
+    shared.replace_keys([("k", 4)])
+    assert SharedState(files).bound_keys() == {"k": 4}
+    shared.bind_key("m", 5)
+    assert SharedState(files).bound_keys() == {"k": 4, "m": 5}
 
 
 def test_a_key_may_be_as_long_as_a_header(files):
-    one = SharedState(files)
-    one.bound("ÿ" * 70_000, 2**40)
-    assert SharedState(files).keys() == {"ÿ" * 70_000: 2**40}
-
-
-def test_a_state_that_was_being_written_leaves_the_one_before(files):
-    """Every byte at which its writer may have died."""
-    one = SharedState(files)
-    one.put(a=1)
-    before = os.pread(files[0], module._ROWS_AT, 0)
-    one.put(a=2, b="x" * 40)
-    after = os.pread(files[0], module._ROWS_AT, 0)
-    changed = [at for at in range(len(before)) if before[at] != after[at]]
+    shared = SharedState(files)
+    shared.bind_key("ÿ" * 70_000, 2**40)
+    assert SharedState(files).bound_keys() == {"ÿ" * 70_000: 2**40}
+
+
+def test_a_writer_that_dies_while_it_writes_the_state_leaves_the_earlier_state(files):
+    """Wherever the writer dies, the reader gets the old or the new state, never a mix of both."""
+    shared = SharedState(files)
+    shared.put(a=1)
+    before = os.pread(files[0], module._EXPOSURES_OFFSET, 0)
+    shared.put(a=2, b="x" * 40)
+    after = os.pread(files[0], module._EXPOSURES_OFFSET, 0)
+    changed = [place for place in range(len(before)) if before[place] != after[place]]
     for stop in range(len(changed) + 1):
         torn = bytearray(before)
-        for at in changed[:stop]:
-            torn[at] = after[at]
+        for place in changed[:stop]:
+            torn[place] = after[place]
         os.pwrite(files[0], bytes(torn), 0)
         assert SharedState(files).state in ({"a": 1}, {"a": 2, "b": "x" * 40})
     assert SharedState(files).state["a"] == 2
 
 
 def test_a_state_that_is_too_large_changes_nothing(files):
-    one = SharedState(files)
-    one.put(a=1)
+    shared = SharedState(files)
+    shared.put(a=1)
     with pytest.raises(ValueError, match="bytes of state"):
-        one.put(b="x" * module.PAGE)
-    assert SharedState(files).state == one.state == {"a": 1}
+        shared.put(b="x" * module.PAGE_SIZE)
+    assert SharedState(files).state == shared.state == {"a": 1}
 
 
-def test_another_version_is_no_book(files):
+def test_memory_of_another_version_is_refused(files):
     os.pwrite(files[0], b"\0" * 8, 0)
     with pytest.raises(ValueError, match="version"):
         SharedState(files)
@@ -93,15 +94,16 @@
 @given(
     st.lists(
         st.tuples(
-            st.text(min_size=1, max_size=30).filter(lambda t: t.isprintable()), st.integers(0, 2**64 - 1)
+            st.text(min_size=1, max_size=30).filter(lambda text: text.isprintable()),
+            st.integers(0, 2**64 - 1),
         )
     )
 )
-def test_any_keys_come_back(entries):
-    found = new_files()
-    one = SharedState(found)
+def test_any_keys_are_read_back(entries):
+    files = new_files()
+    shared = SharedState(files)
     for key, build in entries:
-        one.bound(key, build)
-    assert SharedState(found).keys() == dict(entries)
-    for file in found:
+        shared.bind_key(key, build)
+    assert SharedState(files).bound_keys() == dict(entries)
+    for file in files:
         os.close(file)
