--- a/cartweir/cores/dispatcher.py
+++ b/cartweir/cores/dispatcher.py
@@ -125,7 +125,7 @@
 
 
 class Dispatcher:
-    """Has the decider decide on a worker's invocations, and carries out its orders.
+    """Submits a worker's invocations to the decider and carries out its orders.
 
     Args:
         config: What sets the worker apart.
@@ -180,9 +180,8 @@
         decider.send([messages.HELLO, self.number])
         for pending in list(self.pending.values()):
             if not pending.answered:
-                if (
-                    pending.invocation.dispatches
-                ):  # dispatched by an earlier decider: its outcome is awaited here
+                # one that an earlier decider dispatched: this worker awaits the outcome
+                if pending.invocation.dispatches:
                     self._resolve_without_decider(pending)
                 else:
                     self._submit(pending)
@@ -258,7 +257,7 @@
         return invocation
 
     def _submit(self, pending: PendingInvocation) -> None:
-        """Lets the decider decide on an invocation."""
+        """Sends the decider an invocation to decide on."""
         invocation, facts = pending.invocation, pending.facts
         pending.decider_generation = self.decider_generation
         message = InvocationMessage(
@@ -510,10 +509,9 @@
         answered = False
         if outcome == ours.SUCCEEDED and not pending.answered:
             pending.answers[dispatch.number] = answer or ((), [], ())
+            # the first success is the answer
             if answered := not answer_must_wait(self.settings, pending.invocation):
-                self._answer_client(
-                    pending, messages.SUCCEED, dispatch.number
-                )  # the first success is the answer
+                self._answer_client(pending, messages.SUCCEED, dispatch.number)
         if self._is_with_decider(pending):
             lag = max(0, self.clock.now() - self.clock.arrival_time())
             # the answer binds its key even if the decider has given the dispatch up meanwhile
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -175,7 +175,7 @@
 
 @sockets
 async def test_evidence_outlives_the_decider(tmp_path):
-    """Failures of a build seen before the decider's restart count towards the vote after agent."""
+    """Failures of a build seen before the decider's restart count towards the vote after it."""
     async with run_agent(tmp_path, answer, answer, (reset, 2), stage=TRIAL, cores=2) as agent:
         client = await agent.connect_client(1)
         while len(agent.appliances[2].requests) < 3:
@@ -442,7 +442,7 @@
 
 @sockets
 async def _give_up_as_answer_arrives(tmp_path):
-    """The decider gives up and cancels while the report of the answer is on its way to agent.
+    """The decider gives up and cancels while the report of the answer is on its way to it.
 
     The client must get the answer, and its key must be bound.
     """
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -229,9 +229,8 @@
     await asyncio.gather(expired.done.wait(), answered.done.wait())
     assert expired.tail["cartweir-answer"] in ("throttled", "terminated") and answered.status == "0"
     (sent,) = [request for request in appliances[0].requests if request[":path"] == ISSUE]
-    assert (
-        int(sent["grpc-timeout"][:-1]) <= 1_500_000 - waited * 1e6 + 10_000
-    )  # the kernel's clock advances by some milliseconds at a time
+    # 10 ms of tolerance: the kernel's clock advances by some milliseconds at a time
+    assert int(sent["grpc-timeout"][:-1]) <= 1_500_000 - waited * 1e6 + 10_000
     client.close()
     assert await process.stop() == 0
     end(registry, appliances)
