--- a/cartweir/cores/decider.py
+++ b/cartweir/cores/decider.py
@@ -1,4 +1,4 @@
-"""The decider: runs the decisions for all workers of one agent, with the news they need and the shared state.
+"""The decider: runs the decisions for all workers of one agent, with registry, conveyor and shared state.
 
 Workers report what happens to invocations; actions of the decisions go to the worker that owns the call.
 """
@@ -140,7 +140,7 @@
         return changed
 
     def apply_stage(self, stage: Stage) -> None:
-        """Applies news of a stage and sends it to the workers."""
+        """Applies a stage from the conveyor and sends it to the workers."""
         super().apply_stage(stage)
         self.decider.send_stage(stage)
 
@@ -192,7 +192,7 @@
         self.rows: dict[str, ListEntry] = {}
         self.instances: dict[Appliance, str] = {}
         self.addresses: dict[str, str] = {}
-        self._deferred: list[Callable[[], None]] = []  # actions from before the news connections exist
+        self._deferred: list[Callable[[], None]] = []  # actions from before the registry client exists
         self._snapshot_truncated = False  # the shared state has no room for all evidence
         self.registry = None
         operations = build_operations(document)
@@ -578,4 +578,4 @@
         write_event(self.log, event, level, **facts)
 
     def retire_gone(self, changed: list[Appliance]) -> None:
-        """Does nothing: the registry's news expects it of connections to appliances, which workers have."""
+        """Does nothing: the registry client calls it, but only workers have connections to appliances."""
--- a/cartweir/cores/dispatcher.py
+++ b/cartweir/cores/dispatcher.py
@@ -2,7 +2,7 @@
 
 The dispatcher stands in place of an EngineHost for the front and the connection pools.
 
-An invocation belongs to the worker that owns its client's stream, and that worker has the last word on it: it
+An invocation belongs to the worker that owns its client's stream, and that worker decides last: it
 has a grant renewed that arrives too late, it drops a grant for an invocation that it has answered, and no
 other worker can answer. Without a decider the worker goes on standalone, with decisions of its own that never
 use a build on trial or a cold appliance.
@@ -79,7 +79,7 @@
     Attributes:
         invocation: The invocation.
         call: The client's call.
-        facts: The further arguments with which it was accepted.
+        attributes: The further arguments with which it was accepted, such as key and customer.
         grants: By dispatch, the grants that have not been used up.
         attempts: By dispatch, the attempts that have not ended.
         answers: By dispatch, whole answers that have not been passed on.
@@ -91,15 +91,15 @@
         "answered",
         "answers",
         "attempts",
+        "attributes",
         "call",
         "decider_generation",
-        "facts",
         "grants",
         "invocation",
     )
 
-    def __init__(self, invocation: Invocation, call: ClientCall, facts: dict[str, Any]) -> None:
-        self.invocation, self.call, self.facts = invocation, call, facts
+    def __init__(self, invocation: Invocation, call: ClientCall, attributes: dict[str, Any]) -> None:
+        self.invocation, self.call, self.attributes = invocation, call, attributes
         self.grants: dict[int, Grant] = {}
         self.attempts: dict[int, Any] = {}
         self.answers: dict[int, tuple] = {}
@@ -237,7 +237,7 @@
 
     # ---- from the front ----
     def accept(
-        self, call: ClientCall, operation: Operation, arrived: int, limit: int, **facts: Any
+        self, call: ClientCall, operation: Operation, arrived: int, limit: int, **attributes: Any
     ) -> Invocation:
         """Accepts a whole call, as `EngineHost.accept()` does."""
         now = self.clock.now()
@@ -246,11 +246,11 @@
             operation,
             min(arrived, now),
             arrived + min(limit, operation.time_limit),
-            **facts,
+            **attributes,
         )
         if self.monitor.standalone and self._can_serve_standalone(invocation):
-            return self._accept_standalone(invocation, call, limit, facts)
-        pending = self.pending[invocation.id] = PendingInvocation(invocation, call, facts)
+            return self._accept_standalone(invocation, call, limit, attributes)
+        pending = self.pending[invocation.id] = PendingInvocation(invocation, call, attributes)
         self._watch_deadline(invocation, answer_deadline(invocation.deadline, self.settings["tick"], False))
         if self.decider is not None and not self.monitor.standalone:
             self._submit(pending)
@@ -258,18 +258,18 @@
 
     def _submit(self, pending: PendingInvocation) -> None:
         """Sends the decider an invocation to decide on."""
-        invocation, facts = pending.invocation, pending.facts
+        invocation, attributes = pending.invocation, pending.attributes
         pending.decider_generation = self.decider_generation
         message = InvocationMessage(
             invocation.id,
             self._operation_index[invocation.operation],
             invocation.arrived_at,
             invocation.deadline - invocation.arrived_at,
-            facts.get("customer", ""),
-            facts.get("key"),
-            facts.get("work_hint", 0),
-            facts.get("retry", False),
-            facts.get("write", False),
+            attributes.get("customer", ""),
+            attributes.get("key"),
+            attributes.get("work_hint", 0),
+            attributes.get("retry", False),
+            attributes.get("write", False),
         )
         self.decider.send([messages.INVOCATION, *message])
 
@@ -645,10 +645,15 @@
         host.engine.resume_woken()
 
     def _accept_standalone(
-        self, invocation: Invocation, call: ClientCall, limit: int, facts: dict[str, Any]
+        self, invocation: Invocation, call: ClientCall, limit: int, attributes: dict[str, Any]
     ) -> Invocation:
         accepted = self.standalone_host.accept(
-            call, invocation.operation, invocation.arrived_at, limit, invocation_id=invocation.id, **facts
+            call,
+            invocation.operation,
+            invocation.arrived_at,
+            limit,
+            invocation_id=invocation.id,
+            **attributes,
         )
         call.invocation = accepted
         return accepted
@@ -674,7 +679,7 @@
                     self.decider.send([messages.WITHDRAW, invocation.id])
                 del self.pending[invocation.id]
                 limit = invocation.deadline - invocation.arrived_at
-                self._accept_standalone(invocation, pending.call, limit, pending.facts)
+                self._accept_standalone(invocation, pending.call, limit, pending.attributes)
 
     # ---- time ----
     def _run_standalone_timers(self) -> None:
