--- a/cartweir/node/config.py
+++ b/cartweir/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells an agent at its start, and again after SIGHUP: EDGE_CONFIG, checked."""
+"""The agent's configuration: the file that `EDGE_CONFIG` names, read at the start and after each SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,13 +11,42 @@
 from ..hosting.platform_settings import SettingError, parse_settings
 from ..hosting.tcp import split_address
 
+DEFAULT_SOCKET_LIMIT = 1024  # file descriptors
+MAX_QUOTED_VALUE = 60  # characters of a wrong value that an error message quotes
+
+# Values in the environment that stand in for members missing from the file.
+ENVIRONMENT_VARIABLES = {
+    "name": "EDGE_NAME",
+    "listen": "EDGE_LISTEN",
+    "discovery": "EDGE_DISCOVERY",
+}
+
+REQUIRED: Any = ...  # in place of a default: the member must be there
+
 
 class ConfigError(Exception):
-    """Place, reason, and what would be right."""
+    """The configuration cannot be used; the message says where, what is wrong and what was expected."""
 
 
 @dataclass(slots=True)
 class Config:
+    """The checked configuration of one agent.
+
+    Attributes:
+        name: The agent's name.
+        listen: Address that clients connect to.
+        discovery: Address of the service that lists appliances.
+        seed: Seed of the agent's random decisions.
+        sockets: File descriptors that the agent may use.
+        peer_listen: Address for datagrams of other agents; None where there are none.
+        peers: Addresses of all agents' datagram sockets, in the order of their numbers.
+        peers_all: Address that reaches all agents at once; None where there is none.
+        release_service: Address of the service that tells the state of builds and takes votes.
+        stage: State of the newest build, as the release service writes it; empty where none is known.
+        known_list: The list of appliances last held, as discovery writes it.
+        decision_settings: The settings of the decisions, by their keys.
+    """
+
     name: str
     listen: str
     discovery: str
@@ -26,50 +55,55 @@
     peer_listen: str | None
     peers: list[str]
     peers_all: str | None
-    desk: str
-    stage: Mapping[str, Any]  # the newest build's state, in the desk's form; empty: none is known
-    listed: Mapping[str, Any]  # the list of appliances as last held, in discovery's form
-    decision_settings: dict[str, Any]  # the settings by our names
+    release_service: str
+    stage: Mapping[str, Any]
+    known_list: Mapping[str, Any]
+    decision_settings: dict[str, Any]
 
 
 def read(environment: Mapping[str, str] = os.environ) -> Config:
-    """Raises ConfigError."""
+    """Reads the configuration file that `EDGE_CONFIG` names.
+
+    Raises:
+        ConfigError: The file cannot be read, or its content is not a usable configuration.
+    """
     path = environment.get("EDGE_CONFIG")
     if not path:
-        raise ConfigError("EDGE_CONFIG is not set; the path of the agent's configuration (JSON) is due")
+        raise ConfigError("EDGE_CONFIG is not set; expected the path of the agent's configuration (JSON)")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            document = json.load(file)
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(
-            f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}; a readable file is due"
+            f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}; expected a readable file"
         ) from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: {error}; one JSON object is due") from None
-    if not isinstance(told, dict):
-        raise ConfigError(f"{path}: {type(told).__name__}; one JSON object is due")
+        raise ConfigError(f"{path}: {error}; expected one JSON object") from None
+    if not isinstance(document, dict):
+        raise ConfigError(f"{path}: {type(document).__name__}; expected one JSON object")
     try:
-        return _config(told, environment)
+        return _parse_config(document, environment)
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _of(told: Mapping[str, Any], name: str, kind: type, due: str, absent: Any = ...) -> Any:
-    value = told.get(name)
-    if value is None and (
-        name not in told or absent is not ...
-    ):  # null, where nothing need be told, tells nothing
-        value = absent
-    if value is ...:
-        raise ConfigError(f"{name} is missing; {due} is due")
-    if value is not absent and (not isinstance(value, kind) or isinstance(value, bool)):
-        raise ConfigError(f"{name}: {str(value)[:60]!r}; {due} is due")
+def _member(
+    document: Mapping[str, Any], name: str, kind: type, expected: str, default: Any = REQUIRED
+) -> Any:
+    """Returns a member of the given type; null counts as missing where there is a default."""
+    value = document.get(name)
+    if value is None and (name not in document or default is not REQUIRED):
+        value = default
+    if value is REQUIRED:
+        raise ConfigError(f"{name} is missing; expected {expected}")
+    if value is not default and (not isinstance(value, kind) or isinstance(value, bool)):
+        raise ConfigError(f"{name}: {str(value)[:MAX_QUOTED_VALUE]!r}; expected {expected}")
     return value
 
 
-def _address(told: Mapping[str, Any], name: str, absent: Any = ...) -> Any:
-    value = _of(told, name, str, "host:port", absent)
-    if value is not absent:
+def _address(document: Mapping[str, Any], name: str, default: Any = REQUIRED) -> Any:
+    value = _member(document, name, str, "host:port", default)
+    if value is not default:
         try:
             split_address(value)
         except ValueError as error:
@@ -77,58 +111,58 @@
     return value
 
 
-def _config(told: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
-    told = {
-        **{
-            name: environment[variable]
-            for name, variable in (
-                ("name", "EDGE_NAME"),
-                ("listen", "EDGE_LISTEN"),
-                ("discovery", "EDGE_DISCOVERY"),
-            )
-            if variable in environment
-        },
-        **told,
-    }
-    limits = _of(told, "limits", dict, "an object with sockets", {})
-    desk = _of(told, "pipeline", dict, "an object with address and news")
-    peers = _of(told, "peers", list, "a list of addresses", [])
-    for number, peer in enumerate(peers):
-        _address({f"peers[{number}]": peer}, f"peers[{number}]")
-    seed = _of(told, "seed", str, "a hexadecimal number")
-    settings = _of(told, "settings", dict, "the object of settings")
+def _parse_decision_settings(settings: Mapping[str, Any]) -> dict[str, Any]:
     try:
         decision_settings = parse_settings(settings)
     except SettingError as error:
         raise ConfigError(f"settings.{error}") from None
     if not decision_settings["operations"]:
-        raise ConfigError("settings.classes is empty; one operation at least is due")
+        raise ConfigError("settings.classes is empty; expected at least one operation")
     for operation in decision_settings["operations"]:
         if not operation.time_limit:
             raise ConfigError(
-                f"settings.classes: {operation.name!r} has no hardLimit; a time in milliseconds is due"
+                f"settings.classes: {operation.name!r} has no hardLimit; expected a time in milliseconds"
             )
-    if len(decision_settings["caps"]) != len(decision_settings["shares"]):
+    caps, shares = decision_settings["caps"], decision_settings["shares"]
+    if len(caps) != len(shares):
         raise ConfigError(
-            f"settings.familyInfo: {len(decision_settings['caps'])} mostShares and {len(decision_settings['shares'])} steps; "
-            "one of each for a stage is due"
+            f"settings.familyInfo: {len(caps)} mostShares and {len(shares)} steps; "
+            "expected one of each per stage"
         )
-    listed = _of(told, "known", dict, "a list in discovery's form", {})
-    _of(listed, "endpoints", list, "a list of entries", [])
+    return decision_settings
+
+
+def _parse_config(document: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
+    from_environment = {
+        name: environment[variable]
+        for name, variable in ENVIRONMENT_VARIABLES.items()
+        if variable in environment
+    }
+    document = {**from_environment, **document}
+    limits = _member(document, "limits", dict, "an object with sockets", {})
+    pipeline = _member(document, "pipeline", dict, "an object with address and news")
+    peers = _member(document, "peers", list, "a list of addresses", [])
+    for number, peer in enumerate(peers):
+        _address({f"peers[{number}]": peer}, f"peers[{number}]")
+    seed = _member(document, "seed", str, "a hexadecimal number")
+    settings = _member(document, "settings", dict, "the object of settings")
+    decision_settings = _parse_decision_settings(settings)
+    known_list = _member(document, "known", dict, "a list in discovery's form", {})
+    _member(known_list, "endpoints", list, "a list of entries", [])
     try:
         return Config(
-            _of(told, "name", str, "the agent's name"),
-            _address(told, "listen"),
-            _address(told, "discovery"),
-            int(seed, 16),
-            _of(limits, "sockets", int, "a number of descriptors", 1024),
-            _address(told, "peer_listen", None),
-            peers,
-            _address(told, "peers_all", None),
-            _address(desk, "address"),
-            _of(desk, "news", dict, "the state of the newest build", {}),
-            listed,
-            decision_settings,
+            name=_member(document, "name", str, "the agent's name"),
+            listen=_address(document, "listen"),
+            discovery=_address(document, "discovery"),
+            seed=int(seed, 16),
+            sockets=_member(limits, "sockets", int, "a number of descriptors", DEFAULT_SOCKET_LIMIT),
+            peer_listen=_address(document, "peer_listen", None),
+            peers=peers,
+            peers_all=_address(document, "peers_all", None),
+            release_service=_address(pipeline, "address"),
+            stage=_member(pipeline, "news", dict, "the state of the newest build", {}),
+            known_list=known_list,
+            decision_settings=decision_settings,
         )
     except ValueError:
-        raise ConfigError(f"seed: {seed[:60]!r}; a hexadecimal number is due") from None
+        raise ConfigError(f"seed: {seed[:MAX_QUOTED_VALUE]!r}; expected a hexadecimal number") from None
--- a/cartweir/node/daemon.py
+++ b/cartweir/node/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one agent on one loop, from what the platform told it to its end."""
+"""The node's daemon: one agent on one event loop, from its configuration to its end."""
 
 from __future__ import annotations
 
@@ -18,53 +18,71 @@
 from ..hosting.clock import Clock, arrival_selector
 from ..hosting.engine_host import EngineHost
 from ..interface import Appliance, Dispatch
+from .appliance_pools import ApplianceOptions, AppliancePools, Attempt
 from .config import Config, ConfigError, read
-from .desk import Desk
-from .discovery import Discovery
-from .front import Call, Front
-from .links import Attempt, Links, Reach
+from .discovery import DiscoveryClient
+from .front import ClientCall, Front
 from .peers import Peers
+from .release_service import ReleaseServiceClient
 
+# Times in microseconds.
 MS, S = 1_000, 1_000_000
 HEARTBEAT = 20 * MS
+STALL_TIME = 100 * MS  # stalls longer than this are logged
 PROBE_TIMEOUT = 250 * MS
-RECONNECT = 50 * MS, S
-RESERVE = 24  # descriptors for what is neither a client nor an appliance
-END_CHECK = 20 * MS
-READY_WITHIN = (
-    5 * S
-)  # of the start: so long a new process waits for a word of discovery before it takes clients
+RECONNECT_DELAYS = 50 * MS, S  # shortest and longest
+DRAIN_CHECK_INTERVAL = 20 * MS
+READY_WITHIN = 5 * S  # of the start: a new process waits this long for discovery before it invites clients
+
+RESERVED_SOCKETS = 24  # descriptors for what is neither a client nor an appliance
+MIN_SOCKETS = 16  # for clients and appliances together
+GC_THRESHOLDS = 10_000, 10, 10
+
+UNLOGGED_EVENTS = ("dispatch", "answer", "left")  # one or more for each request
 
 
 class Daemon:
-    """Being the seat's World, it hands each wish to the part that carries it out."""
+    """One agent.
+
+    It is the environment of its engine host, and passes each action to the part that carries it out.
+    """
 
     def __init__(self, config: Config, reread: Callable[[], Config] = read) -> None:
         self.config, self.reread = config, reread
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(HEARTBEAT, arrival_selector(self.loop))
         settings = config.decision_settings
-        room = max(16, config.sockets - RESERVE)
-        idle = settings["idle_time"]
-        self.links = Links(
-            Reach(settings["connect_timeout"], PROBE_TIMEOUT, idle * 6 // 10, room // 2),
+        sockets = max(MIN_SOCKETS, config.sockets - RESERVED_SOCKETS)
+        idle_time = settings["idle_time"]
+        self.appliance_pools = AppliancePools(
+            ApplianceOptions(settings["connect_timeout"], PROBE_TIMEOUT, idle_time * 6 // 10, sockets // 2),
             self.clock.now,
             self.log_event,
         )
-        self.alarms = AlarmScheduler(IOLoop.current(), self.clock.now, lambda: self.engine_host.run_timers())
-        self._to_say: list[Callable[[], None]] = []  # wishes of the decisions before there is whom to tell
-        self.discovery: Discovery | None = None
-        self.engine_host = self.links.engine_host = EngineHost(self, settings, config.seed)
-        # where lists are pushed nobody asks for the watch; it is opened anew here, however long discovery is away
-        backoff = None if settings["must_ask"] else Backoff(*RECONNECT, random.Random(config.seed + 2))
-        self.discovery = Discovery(
-            self.engine_host, self.links, config.discovery, self.clock.now, self.log_event, backoff
+        self.alarms = AlarmScheduler(
+            IOLoop.current(),
+            self.clock.now,
+            lambda: self.engine_host.run_timers(),  # noqa: PLW0108 - the engine host is made below
+        )
+        self._deferred_actions: list[Callable[[], None]] = []  # of the decisions, before the parts are made
+        self.discovery: DiscoveryClient | None = None
+        self.engine_host = self.appliance_pools.engine_host = EngineHost(self, settings, config.seed)
+        # Where lists are pushed the decisions do not ask for the watch: the client reopens it with a backoff,
+        # however long discovery is unreachable.
+        backoff = None if settings["must_ask"] else Backoff(*RECONNECT_DELAYS, random.Random(config.seed + 2))
+        self.discovery = DiscoveryClient(
+            self.engine_host,
+            self.appliance_pools,
+            config.discovery,
+            self.clock.now,
+            self.log_event,
+            backoff,
         )
-        self.desk = Desk(
+        self.release_service = ReleaseServiceClient(
             self.engine_host,
-            config.desk,
+            config.release_service,
             settings["vote_timeout"],
-            Backoff(*RECONNECT, random.Random(config.seed + 1)),
+            Backoff(*RECONNECT_DELAYS, random.Random(config.seed + 1)),
             self.log_event,
         )
         self.peers = (
@@ -72,44 +90,54 @@
             if (settings["may_message"] and config.peer_listen)
             else None
         )
-        self.front = Front(self.engine_host, self.clock, room // 2, self.log_event, self._ready)
+        self.front = Front(self.engine_host, self.clock, sockets // 2, self.log_event, self._ready)
         self.started_at = self.clock.now()
         self.ended = asyncio.Event()
 
-    # ---- the World ----
+    # ---- the environment of the engine host ----
     def now(self) -> int:
+        """Returns the time in microseconds."""
         return self.clock.now()
 
     def schedule_alarm(self, due: int) -> None:
+        """Runs the decisions' timers at that time."""
         self.alarms.schedule(due)
 
     def run_soon(self, do: Callable[[], None]) -> None:
+        """Calls a function in the next turn of the loop."""
         self.loop.call_soon(do)
 
-    def start(self, dispatch: Dispatch, call: Call) -> Attempt:
-        return self.links.start(dispatch, call)
+    def start(self, dispatch: Dispatch, call: ClientCall) -> Attempt:
+        """Sends a dispatch."""
+        return self.appliance_pools.start(dispatch, call)
 
     def probe(self, appliance: Appliance) -> None:
-        self.links.probe(appliance)
+        """Sends a health check."""
+        self.appliance_pools.probe(appliance)
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
-        self.desk.vote(build, stage, verdict)
+        """Sends a vote."""
+        self.release_service.vote(build, stage, verdict)
 
     def subscribe(self) -> None:
-        if self.discovery is None:  # asked for in the module's own first moment
-            self._to_say.append(self.subscribe)
+        """Opens a watch on the list of appliances."""
+        if self.discovery is None:  # the decisions ask as they are made
+            self._deferred_actions.append(self.subscribe)
         else:
             self.discovery.subscribe()
 
     def fetch_list(self) -> None:
+        """Requests the whole list of appliances once."""
         self.discovery.fetch()
 
     def message(self, to: int | None, figures: list[int]) -> None:
+        """Sends figures to an agent, or to all (None)."""
         if self.peers is not None:
             self.peers.message(to, figures)
 
     def log_event(self, event: str, level: str = "info", **facts: Any) -> None:
-        if level != "debug" and event not in ("dispatch", "answer", "left"):
+        """Writes an event to standard error, unless it is one of each request or of level debug."""
+        if level != "debug" and event not in UNLOGGED_EVENTS:
             print(
                 f"{self.clock.now() / 1e6:.3f} {event}",
                 *(f"{name}={value}" for name, value in facts.items()),
@@ -117,15 +145,19 @@
                 flush=True,
             )
 
-    # ---- its life ----
+    # ---- from start to end ----
     def start_up(self) -> str:
-        """Returns the address that clients may use. Raises OSError where it cannot listen."""
-        self.discovery.start(self.config.listed)
-        for say in self._to_say:
-            say()
+        """Starts all parts and returns the address that clients may use.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        self.discovery.start(self.config.known_list)
+        for action in self._deferred_actions:
+            action()
         if not self.engine_host.settings["must_ask"]:
             self.discovery.subscribe()
-        self.desk.start(self.config.stage)
+        self.release_service.start(self.config.stage)
         address = self.front.listen(self.config.listen)
         self._beat()
         self.log_event(
@@ -138,38 +170,41 @@
         return address
 
     def _ready(self) -> bool:
-        """Whether clients may come: not before the list that was kept has been checked against discovery, if that answers in time."""
+        """Whether to invite clients: once discovery has confirmed the kept list, or READY_WITHIN is over."""
         return self.discovery.synchronized or self.clock.now() >= self.started_at + READY_WITHIN
 
     def _beat(self) -> None:
         stalled = self.clock.measure_stall()
-        if stalled > 100 * MS:
+        if stalled > STALL_TIME:
             self.log_event("stalled", level="warning", milliseconds=stalled // 1000)
         self.loop.call_later(HEARTBEAT / 1e6, self._beat)
 
     def reload(self) -> None:
-        """SIGHUP: discovery and desk may be elsewhere. A configuration that can't be read changes nothing."""
+        """Reads the configuration again (SIGHUP) and follows new addresses of the platform's services.
+
+        A configuration that cannot be read changes nothing.
+        """
         try:
             config = self.reread()
         except ConfigError as error:
             self.log_event("config_bad", level="warning", why=str(error))
             return
-        self.log_event("reloaded", discovery=config.discovery, desk=config.desk)
+        self.log_event("reloaded", discovery=config.discovery, desk=config.release_service)
         self.discovery.move(config.discovery)
-        self.desk.move(config.desk)
+        self.release_service.move(config.release_service)
 
     def terminate(self) -> None:
-        """SIGTERM: what has been taken, and what still comes, is answered; then the end."""
+        """Begins a graceful end (SIGTERM): open requests, and those that still arrive, are answered first."""
         if not self.front.draining:
             self.log_event("draining", held=len(self.engine_host.calls))
             self.front.drain()
-            self._check_end()
+            self._check_drained()
 
-    def _check_end(self) -> None:
+    def _check_drained(self) -> None:
         if self.front.busy or self.engine_host.calls:
-            self.loop.call_later(END_CHECK / 1e6, self._check_end)
-            if self.engine_host.calls and self.clock.now() >= self.front.ends_by:
-                # time limits of other customers are longer than what is left: an answer that tells where to go beats none
+            self.loop.call_later(DRAIN_CHECK_INTERVAL / 1e6, self._check_drained)
+            if self.engine_host.calls and self.clock.now() >= self.front.drain_deadline:
+                # Some time limits exceed the time for draining; a final answer is better than none.
                 self.log_event("giving_up", level="warning", held=len(self.engine_host.calls))
                 self.engine_host.give_up_all()
         else:
@@ -178,7 +213,11 @@
 
 
 async def run(config: Config) -> None:
-    """Until it is told to end. Raises OSError where it cannot listen."""
+    """Runs an agent until it is told to end.
+
+    Raises:
+        OSError: The address for clients or that for datagrams cannot be bound.
+    """
     daemon = Daemon(config)
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
@@ -191,10 +230,11 @@
     loop.add_signal_handler(signal.SIGHUP, daemon.reload)
     daemon.start_up()
     gc.freeze()
-    gc.set_threshold(10_000, 10, 10)
+    gc.set_threshold(*GC_THRESHOLDS)
     await daemon.ended.wait()
 
 
 def main(config: Config) -> None:
+    """Runs an agent on a new event loop."""
     with asyncio.Runner(loop_factory=clock.new_event_loop) as runner:
         runner.run(run(config))
--- a/cartweir/node/front.py
+++ b/cartweir/node/front.py
@@ -1,7 +1,7 @@
-"""The clients' side: connections, the check of each request, and its one answer.
+"""The clients' side of the node: connections, the check of each request, and its one response.
 
-Clients are not trusted: what can't be understood gets an error of its own (never 429 or 503, which promise something)
-and loses its connection, and connections that say nothing are the first to go when descriptors run short.
+Clients are not trusted. A request that cannot be understood gets a status of its own (never 429 or 503, which
+make a promise) and loses its connection; silent connections are closed first when descriptors run short.
 """
 
 from __future__ import annotations
@@ -19,124 +19,144 @@
 from ..hosting.tcp import NonBlockingSocket, split_address
 from ..interface import FINGERPRINTED, IDEMPOTENT, Invocation, Operation
 from . import http1, protocol
-from .http1 import MalformedError, Request, Requests
+from .http1 import HttpError, Request, RequestParser
 
+# Times in microseconds.
 MS = 1000
-SILENT = 2_000 * MS  # a connection without a whole request by then is closed: a usual client asks at once
-SPARE = 2_000 * MS  # one that has been served may go after so long without another
-YOUNG = 100 * MS  # one that has not spoken yet is given so long in any case
-HALF = 500 * MS  # one with half a request is not made to go before, however short places are
-LINGER = 500 * MS  # for the other side to read why, while it is still sending
-MOST_LINGER = 256 * 1024
-SWEEP = 100 * MS
-LATE_COMERS = 600 * MS  # after the word to end, connections keep coming for a while
-CROWD = 20 * MS  # between looks at whoever still waits outside then
-LAST = (
-    3_000 * MS,
-    600 * MS,
-)  # the end is forced so long after the word: the longest time limit, at most the first; and this
-HELD_UP = 20 * MS  # what has been read so long after it came may come from a client that has gone meanwhile
-_IDENT = re.compile(rb"[!-~]{1,128}")
+REQUEST_TIMEOUT = 2_000 * MS  # for a complete request on a new connection: a usual client asks at once
+SWEEP_INTERVAL = 100 * MS
+LINGER_TIME = 500 * MS  # for a client that is still sending to read why its connection ends
+STALE_INPUT_AGE = 20 * MS  # input read so long after it arrived may be of a client that has left meanwhile
+
+# Ages from which a connection may be closed to make room.
+NEW_EVICTION_AGE = 100 * MS  # has sent nothing yet
+SERVED_EVICTION_AGE = 2_000 * MS  # idle since its last response
+PARTIAL_EVICTION_AGE = 500 * MS  # has sent a part of a request
+
+DRAIN_ACCEPT_TIME = 600 * MS  # clients still connect for so long after the order to end
+DRAIN_ACCEPT_INTERVAL = 20 * MS  # between looks for connections that still wait to be accepted then
+MAX_DRAIN_TIME = 3_000 * MS  # draining takes the longest time limit, at most this long, ...
+DRAIN_MARGIN = 600 * MS  # ... and so much more
+
+MAX_LINGER_BYTES = 256 * 1024  # read and discarded from a client whose connection ends
+LISTEN_BACKLOG = 1024  # connections that wait in the kernel to be accepted
+ACCEPTS_PER_TURN = 32
+MAX_WORK_DIGITS = 11  # of the header that hints at the work of a request
+
+_TOKEN = re.compile(rb"[!-~]{1,128}")
 EventLogger = Callable[..., None]
 
 
-class Call:
-    """One request that is owed an answer."""
+class ClientCall:
+    """One request until its response: the client's side of an invocation."""
 
-    __slots__ = ("client", "id", "head", "body", "invocation")
+    __slots__ = ("body", "client", "head", "id", "invocation")
 
     def __init__(
-        self, client: Client, request_id: bytes, head: list[tuple[bytes, bytes]], request: Request
+        self, client: ClientConnection, request_id: bytes, head: list[tuple[bytes, bytes]], request: Request
     ) -> None:
-        self.client, self.id, self.body = client, request_id, request.body
-        self.head = (request.method, request.target, head)  # what goes on unchanged
+        self.client: ClientConnection | None = client
+        self.id, self.body = request_id, request.body
+        self.head = (request.method, request.target, head)  # passed on unchanged
         self.invocation: Invocation | None = None
 
     def succeed(self, head: Any, body: list[bytes], tail: Any) -> None:
-        self._answer(200, b"".join(body))
+        """Responds with an appliance's body."""
+        self._respond(200, b"".join(body))
 
     def throttle(self, retry_after: int) -> None:
-        self._answer(429, headers=((b"Retry-After", b"%.3f" % (retry_after / 1e6)),) if retry_after else ())
+        """Responds that nothing ran; retry_after: microseconds after which to retry, 0 for none."""
+        headers = ((b"Retry-After", b"%.3f" % (retry_after / 1e6)),) if retry_after else ()
+        self._respond(429, headers=headers)
 
     def terminate(self) -> None:
-        self._answer(500)
+        """Responds without any promise."""
+        self._respond(500)
 
-    def gone(self) -> bool:
-        """Its client has gone, also where the loop has not had the time to tell."""
+    def client_left(self) -> bool:
+        """Whether the client has left, even if the loop has not had the time to report it."""
         return self.client is None or self.client.socket.at_end()
 
-    def leave(self) -> None:
+    def close_client(self) -> None:
+        """Closes the client's connection."""
         if self.client is not None:
             self.client.close()
 
-    def _answer(self, status: int, body: bytes = b"", headers: Any = ()) -> None:
+    def _respond(self, status: int, body: bytes = b"", headers: Any = ()) -> None:
         client, self.client = self.client, None
         if client is not None:
             client.front.calls.pop(self.id, None)
             client.call = None
-            client.say(status, body, headers)
+            client.respond(status, body, headers)
 
 
-class Client:
-    """One connection."""
+class ClientConnection:
+    """One connection of a client.
+
+    Attributes:
+        call: The request that waits for its response.
+        last_active: When it connected, began a request, was answered, or last took a part of its response.
+        served: Whether it has had a response.
+        unanswered: A complete request has arrived, and no response was written yet.
+        closing: Its last response is written; only the client's reading of it is awaited.
+        keep_alive: Whether the client allows another request on it.
+        discarded: Bytes that arrived while it was closing.
+        unsent_before: Bytes of its response that the kernel had not taken at the last sweep.
+    """
 
     __slots__ = (
-        "front",
-        "socket",
-        "reader",
         "call",
-        "since",
+        "closing",
+        "discarded",
+        "front",
+        "keep_alive",
+        "last_active",
+        "parser",
         "served",
-        "asked",
-        "over",
-        "stays",
-        "drained",
-        "unsent",
+        "socket",
+        "unanswered",
+        "unsent_before",
     )
 
     def __init__(self, front: Front, sock: socket.socket) -> None:
-        self.front, self.reader = front, Requests()
-        self.call: Call | None = None
-        self.since = (
-            front.clock.now()
-        )  # connected, began to ask, last answered, or last took a part of its answer
-        self.served = self.asked = False  # asked: a whole request has come, and nothing has been said to it
-        self.over = False  # only the other side's reading is awaited
-        self.stays, self.drained, self.unsent = True, 0, 0
+        self.front, self.parser = front, RequestParser()
+        self.call: ClientCall | None = None
+        self.last_active = front.clock.now()
+        self.served = self.unanswered = False
+        self.closing = False
+        self.keep_alive, self.discarded, self.unsent_before = True, 0, 0
         self.socket = NonBlockingSocket(front.loop, sock, self)
 
-    # ---- in ----
+    # ---- input ----
     def on_data(self, data: bytes) -> None:
-        if self.over:
-            self.drained += len(data)
-            if self.drained > MOST_LINGER:
+        """Handles input; a connection carries one request at a time."""
+        if self.closing:
+            self.discarded += len(data)
+            if self.discarded > MAX_LINGER_BYTES:
                 self.close()
             return
-        began = self.reader.begun
+        in_message_before = self.parser.in_message
         try:
-            requests = self.reader.feed(data)
-        except MalformedError as error:
+            requests = self.parser.feed(data)
+        except HttpError as error:
             self.refuse(error.status, error.reason)
             return
-        if not requests:  # an empty line behind a body is no request
-            if self.reader.begun and self.call is not None:
-                self.refuse(400, "a second request before the first was answered")
-            elif self.reader.begun and self.served and not began:
-                self.since = self.front.clock.now()
+        if not requests:  # an empty line after a body is no request
+            self._on_partial_request(in_message_before)
             return
-        if self.call is not None or len(requests) > 1 or self.reader.begun:
+        if self.call is not None or len(requests) > 1 or self.parser.in_message:
             self.refuse(400, "several requests at once on a connection")
             return
         self.front.idle.pop(self, None)
-        self.stays, self.asked = requests[0].stays, True
+        self.keep_alive, self.unanswered = requests[0].keep_alive, True
         try:
-            self.front.take(self, requests[0])
-        except MalformedError as error:
+            self.front.handle_request(self, requests[0])
+        except HttpError as error:
             self.refuse(error.status, error.reason)
-        except Exception:  # a fault of ours, which the loop tells of: it is answered all the same
-            if self.asked and self.call is None:
+        except Exception:  # an internal error, which the loop reports: the request is answered all the same
+            if self.unanswered and self.call is None:
                 self.refuse(500, "an error of the agent")
-            elif self.call is not None:  # the fault was another's: this one is under way
+            elif self.call is not None:  # the error concerned another request; this one was accepted
                 self.call.invocation = next(
                     (
                         invocation
@@ -147,42 +167,50 @@
                 )
             raise
 
+    def _on_partial_request(self, in_message_before: bool) -> None:
+        if self.parser.in_message and self.call is not None:
+            self.refuse(400, "a second request before the first was answered")
+        elif self.parser.in_message and self.served and not in_message_before:
+            self.last_active = self.front.clock.now()
+
     def on_lost(self, why: str) -> None:
+        """The client's end of the connection is closed, or it broke."""
         self.close()
 
     def on_sent(self) -> None:
-        """Slow readers have their answers too; only then does what the connection is to come to begin."""
-        self.since, self.unsent = self.front.clock.now(), 0
-        if self.over:
+        """The kernel has taken the whole response; idle and linger times begin only now, for slow readers."""
+        self.last_active, self.unsent_before = self.front.clock.now(), 0
+        if self.closing:
             self.socket.shutdown_write()
 
-    # ---- out ----
+    # ---- output ----
     def refuse(self, status: int, reason: str) -> None:
-        """An error of the front's own, and the end of the connection."""
+        """Responds with an error of the front itself, and ends the connection."""
         self.front.refused += 1
-        self.leave()
-        self.stays = False
-        self.say(status, reason.encode("latin-1", "replace") + b"\n")
+        self.abandon_call()
+        self.keep_alive = False
+        self.respond(status, reason.encode("latin-1", "replace") + b"\n")
 
-    def say(self, status: int, body: bytes, headers: Any = ()) -> None:
+    def respond(self, status: int, body: bytes, headers: Any = ()) -> None:
+        """Writes a response; ends the connection unless it may carry another request."""
         if self.socket.closed:
             return
         front = self.front
-        stays = self.stays and not front.draining
-        self.since, self.served, self.asked = front.clock.now(), True, False
+        keep_alive = self.keep_alive and not front.draining
+        self.last_active, self.served, self.unanswered = front.clock.now(), True, False
         try:
-            self.socket.write(http1.answer(status, body, headers, stays))
+            self.socket.write(http1.encode_response(status, body, headers, keep_alive))
         except OSError:
             self.close()
             return
-        if not stays:
-            self.over = True
+        if not keep_alive:
+            self.closing = True
             if not self.socket.unsent:
                 self.socket.shutdown_write()
         front.idle[self] = None
 
-    def leave(self) -> None:
-        """The request that is open here is not wanted any more."""
+    def abandon_call(self) -> None:
+        """Drops the open request; its response is no longer wanted."""
         call, self.call = self.call, None
         if call is not None:
             call.client = None
@@ -191,72 +219,89 @@
                 self.front.engine_host.client_left(call.invocation)
 
     def close(self) -> None:
+        """Closes the connection at once."""
         if not self.socket.closed:
             self.socket.close()
-            self.reader.close()
+            self.parser.close()
             self.front.idle.pop(self, None)
             self.front.clients.discard(self)
-            self.front._open_door(True)
-            self.leave()
+            self.front.set_accepting(True)
+            self.abandon_call()
 
 
 class Front:
-    """most: connections of clients at a time. ready: whether clients may be told to come."""
+    """Listens for clients and serves them.
+
+    Attributes:
+        max_clients: Connections of clients at a time.
+        ready: Tells whether the readiness path may invite clients.
+        clients: All connections.
+        idle: Connections without an open request, the one idle for longest first.
+        calls: Open requests by their id.
+        draining: The order to end has come.
+        refused: Requests refused so far.
+        evicted: Connections closed so far to make room.
+        max_time_limit: The longest time limit of any operation.
+        drain_deadline: While draining: when every open request has been answered.
+    """
 
     def __init__(
         self,
         engine_host: EngineHost,
         clock: Clock,
-        most: int,
+        max_clients: int,
         log_event: EventLogger,
         ready: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.engine_host, self.clock, self.most, self.log_event, self.ready = (
-            engine_host,
-            clock,
-            most,
-            log_event,
-            ready,
-        )
+        self.engine_host, self.clock, self.max_clients = engine_host, clock, max_clients
+        self.log_event, self.ready = log_event, ready
         self.loop = asyncio.get_event_loop()
         self.operations: Mapping[bytes, Operation] = {
-            name.encode(): o for name, o in engine_host.operations.items()
+            name.encode(): operation for name, operation in engine_host.operations.items()
         }
-        self.clients: set[Client] = set()
-        self.idle: OrderedDict[Client, None] = (
-            OrderedDict()
-        )  # with no request open; the one idle for longest first
-        self.calls: dict[bytes, Call] = {}
+        self.clients: set[ClientConnection] = set()
+        self.idle: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.calls: dict[bytes, ClientCall] = {}
         self.draining = False
         self.refused = self.evicted = 0
-        self.longest = max((operation.time_limit for operation in engine_host.operations.values()), default=0)
-        self.ends_by = 0  # once the word has come: what is owed is answered until then
+        self.max_time_limit = max(
+            (operation.time_limit for operation in engine_host.operations.values()), default=0
+        )
+        self.drain_deadline = 0
         self._listener: socket.socket | None = None
-        self._door = True  # whether connections are taken in at present
+        self._accepting = True  # whether the loop watches the listener
 
     def listen(self, address: str) -> str:
-        """Raises OSError."""
+        """Returns the address with the port that was bound.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         host, port = split_address(address)
         self._listener = sock = socket.socket(
             socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK
         )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
-        sock.listen(1024)
+        sock.listen(LISTEN_BACKLOG)
         self.loop.add_reader(sock.fileno(), self._accept)
-        self.loop.call_later(SWEEP / 1e6, self._sweep)
-        return "%s:%d" % sock.getsockname()[:2]
+        self.loop.call_later(SWEEP_INTERVAL / 1e6, self._sweep)
+        bound_host, bound_port = sock.getsockname()[:2]
+        return f"{bound_host}:{bound_port}"
 
     # ---- connections ----
-    def _accept(self, most: int = 32) -> bool:
-        """A few at a time: a crowd at the door holds up nobody who is inside. When all places are taken by those who
-        ask for something, the others wait outside: to take them in and send them away would lose what they ask.
-        Returns whether nobody waits outside any more."""
-        for _ in range(most):
+    def _accept(self, max_count: int = ACCEPTS_PER_TURN) -> bool:
+        """Accepts a few connections; returns whether none waits any more.
+
+        A few at a time, so that many new connections do not delay the clients already connected. When all
+        places are taken by clients with open requests, the others wait in the kernel's queue: accepting and
+        closing them would lose the requests they have sent.
+        """
+        for _ in range(max_count):
             if self._listener is None:
                 return True
-            if len(self.clients) >= self.most and not self._evict():
-                self._open_door(False)
+            if len(self.clients) >= self.max_clients and not self._evict():
+                self.set_accepting(False)
                 return False
             try:
                 sock, _ = self._listener.accept()
@@ -264,160 +309,189 @@
                 return True
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE) and not self._evict():
-                    self._open_door(False)
+                    self.set_accepting(False)
                     return False
-                continue  # that one has gone already
+                continue  # that connection has broken already
             sock.setblocking(False)
-            client = Client(self, sock)
+            client = ClientConnection(self, sock)
             self.clients.add(client)
             self.idle[client] = None
         return False
 
-    def _open_door(self, wide: bool) -> None:
-        if self._listener is not None and wide != self._door:
-            self._door = wide
-            if wide:
+    def set_accepting(self, accepting: bool) -> None:
+        """Watches the listener for new connections, or stops watching it."""
+        if self._listener is not None and accepting != self._accepting:
+            self._accepting = accepting
+            if accepting:
                 self.loop.add_reader(self._listener.fileno(), self._accept)
             else:
                 self.loop.remove_reader(self._listener.fileno())
 
     def _evict(self) -> bool:
-        """Makes room: first who said nothing, or has been told why it ends; then who was served long ago; then who said
-        half of something. Never one that has said something which the loop has not had the time to read, nor one that
-        has not taken all of its answer."""
-        now, spares = self.clock.now(), {}
+        """Closes an idle connection to make room; returns whether there was one.
+
+        First one that sent nothing, or was told why it ends; then one that was served long ago; then one that
+        sent a part of a request. Never one whose input the loop has not had the time to read, nor one that
+        has not taken its whole response.
+        """
+        now = self.clock.now()
+        candidates: dict[int, ClientConnection] = {}
         for client in self.idle:
-            age, begun = now - client.since, client.reader.begun
-            if client.over or not (client.served or begun):
-                rank = 0 if age >= YOUNG else None
+            age, in_message = now - client.last_active, client.parser.in_message
+            if client.closing or not (client.served or in_message):
+                rank = 0 if age >= NEW_EVICTION_AGE else None
+            elif in_message:
+                rank = 2 if age >= PARTIAL_EVICTION_AGE else None
             else:
-                rank = (2 if age >= HALF else None) if begun else (1 if age >= SPARE else None)
+                rank = 1 if age >= SERVED_EVICTION_AGE else None
             if (
                 rank is not None
-                and rank not in spares
+                and rank not in candidates
                 and not client.socket.unsent
                 and client.socket.nothing_to_read()
             ):
-                spares[rank] = client
+                candidates[rank] = client
                 if rank == 0:
                     break
-        if not spares:
+        if not candidates:
             return False
         self.evicted += 1
-        spares[min(spares)].close()
+        candidates[min(candidates)].close()
         return True
 
     def _sweep(self) -> None:
-        self.loop.call_later(SWEEP / 1e6, self._sweep)  # first: whatever goes wrong below, it comes again
+        # Scheduled first, so that an error below does not end the sweeps.
+        self.loop.call_later(SWEEP_INTERVAL / 1e6, self._sweep)
         now = self.clock.now()
         for client in list(self.idle):
-            age, left = now - client.since, client.socket.unsent
-            if left:  # it reads slowly, or not at all
-                if left != client.unsent:
-                    client.since, client.unsent = now, left
-                elif age > self.longest + LINGER:
-                    client.close()
-            elif client.over:  # to close on unread bytes would reset what it has not read of its answer
-                if age > SILENT or (age > LINGER and client.socket.nothing_to_read()):
-                    client.close()
-            elif client.reader.begun:
-                if age > SILENT:
-                    client.refuse(408, "no whole request in time")
-            elif (not client.served and age > SILENT) or (
-                client.served and self.draining and self._listener is None
-            ):
-                if client.socket.nothing_to_read():
-                    client.close()
-        self._open_door(True)
+            self._sweep_client(client, now)
+        self.set_accepting(True)
+
+    def _sweep_client(self, client: ClientConnection, now: int) -> None:
+        age, unsent = now - client.last_active, client.socket.unsent
+        if unsent:  # it reads slowly, or not at all
+            if unsent != client.unsent_before:
+                client.last_active, client.unsent_before = now, unsent
+            elif age > self.max_time_limit + LINGER_TIME:
+                client.close()
+        elif client.closing:  # closing with unread input would reset what the client has not read yet
+            if age > REQUEST_TIMEOUT or (age > LINGER_TIME and client.socket.nothing_to_read()):
+                client.close()
+        elif client.parser.in_message:
+            if age > REQUEST_TIMEOUT:
+                client.refuse(408, "no whole request in time")
+        elif (
+            (not client.served and age > REQUEST_TIMEOUT)
+            or (client.served and self.draining and self._listener is None)
+        ) and client.socket.nothing_to_read():
+            client.close()
 
     # ---- requests ----
-    def take(self, client: Client, request: Request) -> None:
-        """Raises MalformedError."""
+    def handle_request(self, client: ClientConnection, request: Request) -> None:
+        """Checks a request and hands it to the decisions.
+
+        Raises:
+            HttpError: The request is refused.
+        """
         arrived = self.clock.arrival_time()
-        if (not client.served or self.clock.now() - arrived > HELD_UP) and client.socket.at_end():
-            client.close()  # it waited outside, or we stood still: nobody waits for it any more
+        if (not client.served or self.clock.now() - arrived > STALE_INPUT_AGE) and client.socket.at_end():
+            client.close()  # the client left while it waited or the process stalled
             return
         path = request.target.partition(b"?")[0]
-        if path == protocol.READY:
-            client.say(404 if self.draining else 200 if self.ready() else 503, b"")
+        if path == protocol.READY_PATH:
+            client.respond(404 if self.draining else 200 if self.ready() else 503, b"")
             return
-        operation = self.operations.get(request.header(protocol.CLASS))
-        if operation is None:
-            raise MalformedError(404, "no such operation")
-        if path.split(b"/", 2)[1:2] != [operation.name.encode()]:
-            raise MalformedError(400, "the path is not of the operation")
-        if request.method != (b"GET" if operation.effect == IDEMPOTENT else b"POST"):
-            raise MalformedError(405, "not the operation's method")
-        if operation.effect == IDEMPOTENT and request.body:
-            raise MalformedError(400, "a body where none is due")
-        request_id, fingerprint = request.header(protocol.ID), request.header(protocol.FINGERPRINT)
-        if not _IDENT.fullmatch(request_id):
-            raise MalformedError(400, "no id")
-        if operation.effect == FINGERPRINTED and not _IDENT.fullmatch(fingerprint):
-            raise MalformedError(400, "no key against repeats")
-        limit = protocol.limit_of(request.header(protocol.LIMIT))
-        if not limit:
-            raise MalformedError(400, "no time limit, such as 480m")
+        operation = self._operation_of(request, path)
+        request_id = request.header(protocol.REQUEST_ID_HEADER)
+        fingerprint = request.header(protocol.FINGERPRINT_HEADER)
+        if not _TOKEN.fullmatch(request_id):
+            raise HttpError(400, "no id")
+        if operation.effect == FINGERPRINTED and not _TOKEN.fullmatch(fingerprint):
+            raise HttpError(400, "no key against repeats")
+        time_limit = protocol.parse_time_limit(request.header(protocol.TIME_LIMIT_HEADER))
+        if not time_limit:
+            raise HttpError(400, "no time limit, such as 480m")
         if self.draining:  # answered before the end is forced
-            limit = max(1, min(limit, self.ends_by - arrived))
+            time_limit = max(1, min(time_limit, self.drain_deadline - arrived))
         if request_id in self.calls:
-            raise MalformedError(409, "a request with this id is open")
-        hint, further = request.header(protocol.HINT), protocol.further_of(request.header(protocol.FURTHER))
+            raise HttpError(409, "a request with this id is open")
+        work = request.header(protocol.WORK_HEADER)
+        attributes = protocol.parse_attributes(request.header(protocol.ATTRIBUTES_HEADER))
         head = [(b"X-Request-ID", request_id)]
         if fingerprint:
             head.append((b"Idempotency-Key", fingerprint))
-        call = client.call = self.calls[request_id] = Call(client, request_id, head, request)
-        key = request.header(protocol.KEY)
+        call = client.call = self.calls[request_id] = ClientCall(client, request_id, head, request)
+        key = request.header(protocol.KEY_HEADER)
         invocation = self.engine_host.accept(
             call,
             operation,
             arrived,
-            limit,
-            customer=request.header(protocol.CUSTOMER).decode("latin-1"),
+            time_limit,
+            customer=request.header(protocol.CUSTOMER_HEADER).decode("latin-1"),
             key=key.decode("latin-1") if key else None,
-            work_hint=int(hint) if hint.isdigit() and len(hint) < 12 else 0,
-            retry=request.header(protocol.RETRY) == b"1",
-            write=further.get("update") in ("1", "true"),
+            work_hint=int(work) if work.isdigit() and len(work) <= MAX_WORK_DIGITS else 0,
+            retry=request.header(protocol.RETRY_HEADER) == b"1",
+            write=attributes.get("update") in ("1", "true"),
         )
         if call.client is not None:
             call.invocation = invocation
 
+    def _operation_of(self, request: Request, path: bytes) -> Operation:
+        operation = self.operations.get(request.header(protocol.OPERATION_HEADER))
+        if operation is None:
+            raise HttpError(404, "no such operation")
+        if path.split(b"/", 2)[1:2] != [operation.name.encode()]:
+            raise HttpError(400, "the path is not of the operation")
+        if request.method != (b"GET" if operation.effect == IDEMPOTENT else b"POST"):
+            raise HttpError(405, "not the operation's method")
+        if operation.effect == IDEMPOTENT and request.body:
+            raise HttpError(400, "a body where none is due")
+        return operation
+
     # ---- the end ----
     def drain(self) -> None:
-        """Answers end their connections from now on. Connections keep coming for a while, and clients that stay idle
-        learn by the end of theirs that they are to go elsewhere."""
+        """Ends each connection with its next response.
+
+        New connections are still accepted for a while. Idle clients learn from the end of their connections
+        after that while that they are to go elsewhere.
+        """
         self.draining = True
-        self.ends_by = self.clock.now() + min(self.longest, LAST[0]) + LAST[1]
-        self.loop.call_later(LATE_COMERS / 1e6, self._stop)
+        self.drain_deadline = self.clock.now() + min(self.max_time_limit, MAX_DRAIN_TIME) + DRAIN_MARGIN
+        self.loop.call_later(DRAIN_ACCEPT_TIME / 1e6, self._stop_listening)
+
+    def _stop_listening(self) -> None:
+        """Closes the listener once nothing waits there, and the idle connections.
 
-    def _stop(self) -> None:
-        """A listener that closes resets whoever waits outside, with what they have asked already: they come in first."""
+        Closing a listener resets the connections that wait to be accepted, together with the requests they
+        have sent already, so they are accepted first.
+        """
         if self._listener is None:
             return
-        if not self._accept(1024) and self.clock.now() < self.ends_by - LAST[1]:
-            self.loop.call_later(CROWD / 1e6, self._stop)
+        if not self._accept(LISTEN_BACKLOG) and self.clock.now() < self.drain_deadline - DRAIN_MARGIN:
+            self.loop.call_later(DRAIN_ACCEPT_INTERVAL / 1e6, self._stop_listening)
             return
-        self._close_door()
+        self._close_listener()
         for client in list(self.idle):
             if (
                 client.served
-                and not (client.over or client.reader.begun or client.socket.unsent)
+                and not (client.closing or client.parser.in_message or client.socket.unsent)
                 and client.socket.nothing_to_read()
             ):
-                client.close()  # a request that crosses this end was never read: its client asks elsewhere
+                client.close()  # a request that crosses this end stays unread and is retried elsewhere
 
-    def _close_door(self) -> None:
+    def _close_listener(self) -> None:
         if self._listener is not None:
-            self._open_door(False)
+            self.set_accepting(False)
             self._listener.close()
             self._listener = None
 
     @property
     def busy(self) -> bool:
-        """Somebody is still to come, to ask, to be answered, or to read an answer."""
+        """Clients may still connect, send a request, wait for a response or read one."""
         return self._listener is not None or bool(self.clients)
 
     def close(self) -> None:
-        self._close_door()
+        """Closes the listener and all connections at once."""
+        self._close_listener()
         for client in list(self.clients):
             client.close()
--- a/cartweir/node/http1.py
+++ b/cartweir/node/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 without I/O: bytes in, whole messages out, on llhttp (httptools). Knows nothing about routing.
+"""HTTP/1.1 messages without I/O: bytes in, complete messages out, on llhttp (httptools).
 
-The parser's own forms are the strict ones. What it leaves open is bounded here: how long a head may be, how many
-headers it may hold, how large a body; and a message that does not say where it ends is none.
+The parser accepts only the strict forms. What it leaves open is limited here: the size of a head, the number
+of its headers and the size of a body. A message that does not say where it ends is rejected.
 """
 
 from __future__ import annotations
@@ -11,11 +11,14 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser, HttpResponseParser
 
-MOST_HEAD = 16 * 1024  # bytes of a head, its first line included
-MOST_HEADERS = 100
-MOST_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # including the first line
+MAX_HEADERS = 100
+MAX_BODY_BYTES = 64 * 1024
+MAX_LENGTH_DIGITS = 9  # of a Content-Length header
 
-REASONS = {
+FIRST_FINAL_STATUS = 200  # lower ones (1xx) are interim responses
+
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -30,8 +33,13 @@
 }
 
 
-class MalformedError(Exception):
-    """What came is no HTTP/1.1 of the form that is due; `status` answers a request of that kind."""
+class HttpError(Exception):
+    """A message is not acceptable HTTP/1.1.
+
+    Attributes:
+        status: Status of the response to a request of this kind.
+        reason: What is wrong, in a few words.
+    """
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -40,118 +48,152 @@
 
 @dataclass(slots=True)
 class Request:
+    """A complete request.
+
+    Attributes:
+        method: The method.
+        target: The request target, with its query.
+        headers: Values by lower-case name; a repeated header holds all values, separated by commas.
+        body: The body.
+        keep_alive: Whether the connection may carry another request.
+    """
+
     method: bytes
     target: bytes
-    headers: dict[bytes, bytes]  # names in small letters; one that came twice holds both, with a comma
+    headers: dict[bytes, bytes]
     body: bytes
-    stays: bool  # the connection may carry another one
+    keep_alive: bool
 
     def header(self, name: bytes) -> bytes:
+        """Returns the value of a header given by its lower-case name; empty where it is missing."""
         return self.headers.get(name, b"")
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
+    """A complete response.
+
+    Attributes:
+        status: The status code.
+        headers: Values by lower-case name.
+        body: The body.
+        keep_alive: Whether the connection may carry another request.
+    """
+
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    stays: bool
+    keep_alive: bool
+
 
+class _MessageParser:
+    """Handles the events of the underlying parser and the limits, for both directions.
 
-class _Reader:
-    """What both directions share: the parser's events, and the bounds."""
+    Attributes:
+        in_message: A message has begun and is not complete yet.
+    """
 
-    make: type = HttpRequestParser
-    most_body: int | None = MOST_BODY  # bytes; None: whoever takes the pieces bounds what is kept of them
+    parser_type: type = HttpRequestParser
+    max_body_bytes: int | None = MAX_BODY_BYTES  # None: whoever takes the pieces limits what is kept of them
 
     def __init__(self) -> None:
-        self._parser = self.make(self)
-        self._fault: tuple[int, str] | None = (
-            None  # not the exception: it would keep its frames, and they what was read
-        )
-        self.begun = self._in_head = False  # a message has begun and is not whole yet
-        self._head_size = self._size = self._count = 0
+        self._parser = self.parser_type(self)
+        # Status and reason of the first error. An exception would keep its frames alive, and with them the
+        # input.
+        self._error: tuple[int, str] | None = None
+        self.in_message = self._in_head = False
+        self._head_size = self._body_size = self._header_count = 0
 
     def close(self) -> None:
-        """Parser and reader know each other: parted, they leave nothing to the collector."""
+        """Breaks the reference cycle with the underlying parser; the garbage collector gets no work."""
         self._parser = None
-        self._fault = self._fault or (400, "closed")
+        self._error = self._error or (400, "closed")
 
     def on_message_begin(self) -> None:
-        self.begun = self._in_head = True
-        self._size = self._count = 0
+        """Called by the underlying parser at the first byte of a message."""
+        self.in_message = self._in_head = True
+        self._body_size = self._header_count = 0
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
         self._target: list[bytes] = []
 
     def on_url(self, part: bytes) -> None:
+        """Called by the underlying parser with a piece of the request target."""
         self._target.append(part)
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Called by the underlying parser with one header."""
         name = name.lower()
         old = self._headers.get(name)
         self._headers[name] = value if old is None else old + b"," + value
-        self._count += 1
-        if self._count > MOST_HEADERS:
-            self._stop(431, f"more than {MOST_HEADERS} headers")
+        self._header_count += 1
+        if self._header_count > MAX_HEADERS:
+            self._reject(431, f"more than {MAX_HEADERS} headers")
 
     def on_headers_complete(self) -> None:
+        """Called by the underlying parser at the end of a head."""
         self._in_head, self._head_size = False, 0
         length = self._headers.get(b"content-length")
         if (
             length is not None
-            and self.most_body is not None
-            and (len(length) > 9 or int(length) > self.most_body)
+            and self.max_body_bytes is not None
+            and (len(length) > MAX_LENGTH_DIGITS or int(length) > self.max_body_bytes)
         ):
-            self._stop(413, f"a body of over {self.most_body} bytes")
+            self._reject(413, f"a body of over {self.max_body_bytes} bytes")
 
     def on_body(self, piece: bytes) -> None:
-        self._size += len(piece)
-        if self.most_body is not None and self._size > self.most_body:
-            self._stop(413, f"a body of over {self.most_body} bytes")
+        """Called by the underlying parser with a piece of a body."""
+        self._body_size += len(piece)
+        if self.max_body_bytes is not None and self._body_size > self.max_body_bytes:
+            self._reject(413, f"a body of over {self.max_body_bytes} bytes")
         self._body.append(piece)
 
-    def _stop(self, status: int, reason: str) -> None:
-        self._fault = status, reason
-        raise MalformedError(status, reason)
+    def _reject(self, status: int, reason: str) -> None:
+        self._error = status, reason
+        raise HttpError(status, reason)
 
     def _parse(self, data: bytes) -> None:
-        """Raises MalformedError."""
-        if self._fault is not None:
-            raise MalformedError(*self._fault)
+        """Feeds the underlying parser; raises HttpError at the first error and at each call after it."""
+        if self._error is not None:
+            raise HttpError(*self._error)
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
-            self._fault = 400, "an upgrade, which is not spoken here"
+            self._error = 400, "an upgrade, which is not spoken here"
         except HttpParserError as error:
-            self._fault = self._fault or (400, str(error) or type(error).__name__)
-        if self._fault is not None:
-            raise MalformedError(*self._fault)
-        if self._in_head:  # a head that goes on and on, in pieces
+            self._error = self._error or (400, str(error) or type(error).__name__)
+        if self._error is not None:
+            raise HttpError(*self._error)
+        if self._in_head:  # limits a head that arrives in pieces without an end
             self._head_size += len(data)
-            if self._head_size > MOST_HEAD:
-                self._stop(431, f"a head of over {MOST_HEAD} bytes")
+            if self._head_size > MAX_HEAD_BYTES:
+                self._reject(431, f"a head of over {MAX_HEAD_BYTES} bytes")
 
 
-class Requests(_Reader):
-    """The server's side of one connection."""
+class RequestParser(_MessageParser):
+    """Parses the requests of one connection, on the server's side."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._whole: list[Request] = []
+        self._complete: list[Request] = []
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that have become whole. Raises MalformedError, from then on each time."""
+        """Returns the requests that these bytes complete.
+
+        Raises:
+            HttpError: The input is not acceptable; every later call raises it again.
+        """
         self._parse(data)
-        if not self._whole:
+        if not self._complete:
             return []
-        whole, self._whole = self._whole, []
-        return whole
+        complete, self._complete = self._complete, []
+        return complete
 
     def on_message_complete(self) -> None:
-        self.begun = False
+        """Called by the underlying parser at the end of a request."""
+        self.in_message = False
         parser = self._parser
-        self._whole.append(
+        self._complete.append(
             Request(
                 parser.get_method(),
                 b"".join(self._target),
@@ -162,79 +204,100 @@
         )
 
 
-class Answers(_Reader):
-    """The client's side of one connection, one answer at a time. Interim answers (1xx) are passed over."""
+class ResponseParser(_MessageParser):
+    """Parses the responses of one connection, on the client's side, one at a time.
+
+    Interim responses (1xx) are ignored.
+
+    Attributes:
+        response: The complete response; None until then.
+        has_extra_data: More has arrived than belongs to the response.
+    """
 
-    make = HttpResponseParser
+    parser_type = HttpResponseParser
 
     def __init__(self) -> None:
         super().__init__()
-        self.answer: Answer | None = None  # whole
-        self.surplus = False  # more has come than belongs to it
+        self.response: Response | None = None
+        self.has_extra_data = False
 
-    def feed(self, data: bytes) -> Answer | None:
-        """The answer, once it is whole; what comes behind it only sets `surplus`. Raises MalformedError."""
-        if self.answer is not None:
-            self.surplus = True
+    def feed(self, data: bytes) -> Response | None:
+        """Returns the response once it is complete; what follows it only sets `has_extra_data`.
+
+        Raises:
+            HttpError: The input is not acceptable.
+        """
+        if self.response is not None:
+            self.has_extra_data = True
             return None
         try:
             self._parse(data)
-        except MalformedError:
-            if self.answer is None:
+        except HttpError:
+            if self.response is None:
                 raise
-            self.surplus = True
-        return self.answer
+            self.has_extra_data = True
+        return self.response
 
     def next(self) -> None:
-        """The answer has been dealt with, and another request goes out."""
-        self.answer = None
+        """Prepares for the response to the next request; the previous one has been handled."""
+        self.response = None
 
     def on_message_begin(self) -> None:
-        if self.answer is not None:
-            self.surplus = True
+        """Called by the underlying parser at the first byte of a response."""
+        if self.response is not None:
+            self.has_extra_data = True
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
+        """Called by the underlying parser at the end of a head."""
         super().on_headers_complete()
         if (
-            self._parser.get_status_code() >= 200
-            and self.answer is None
+            self._parser.get_status_code() >= FIRST_FINAL_STATUS
+            and self.response is None
             and not (
                 b"content-length" in self._headers
                 or b"chunked" in self._headers.get(b"transfer-encoding", b"").lower()
             )
         ):
-            self._stop(502, "an answer that does not say where it ends")
+            self._reject(502, "a response that does not say where it ends")
 
     def on_message_complete(self) -> None:
-        self.begun = False
+        """Called by the underlying parser at the end of a response."""
+        self.in_message = False
         status = self._parser.get_status_code()
-        if self.answer is None and status >= 200:
-            self.answer = Answer(
+        if self.response is None and status >= FIRST_FINAL_STATUS:
+            self.response = Response(
                 status, self._headers, b"".join(self._body), self._parser.should_keep_alive()
             )
 
 
-class Pieces(Answers):
-    """An answer whose body goes on for as long as the connection does, read as it comes."""
+class StreamedResponseParser(ResponseParser):
+    """Parses a response whose body goes on as long as its connection; the body is read as it arrives."""
 
-    most_body = None
+    max_body_bytes = None
 
     def take(self, data: bytes) -> bytes:
-        """What has come of the body. Raises MalformedError."""
+        """Returns the part of the body that these bytes hold.
+
+        Raises:
+            HttpError: The input is not acceptable.
+        """
         self._parse(data)
-        if self.begun and self._in_head:
+        if self.in_message and self._in_head:
             return b""
         pieces, self._body = self._body, []
         return b"".join(pieces)
 
     @property
     def status(self) -> int:
-        """0 while the head is not whole."""
+        """The status code; 0 while the head is incomplete."""
         return 0 if self._in_head else self._parser.get_status_code()
 
 
-def request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
+def encode_request(
+    method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
+) -> bytes:
+    """Returns a request as bytes; adds Content-Length where there is a body, and to each POST."""
     lines = [method + b" " + target + b" HTTP/1.1"]
     lines += [name + b": " + value for name, value in headers]
     if body or method == b"POST":
@@ -242,12 +305,13 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def answer(
-    status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), stays: bool = True
+def encode_response(
+    status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), keep_alive: bool = True
 ) -> bytes:
-    lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"Unknown"))]
+    """Returns a response as bytes, with Content-Length, and with Connection: close unless kept alive."""
+    lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     lines += [name + b": " + value for name, value in headers]
-    if not stays:
+    if not keep_alive:
         lines.append(b"Connection: close")
     lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/cartweir/node/peers.py
+++ b/cartweir/node/peers.py
@@ -1,4 +1,7 @@
-"""Datagrams between agents: figures as text with blanks, as on the simulator's wire. They may be lost, and nobody asks."""
+"""Datagrams between agents: decimal figures separated by blanks, as on the simulator's wire.
+
+Datagrams may be lost; nobody asks for them again.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +12,15 @@
 from ..hosting.engine_host import EngineHost
 from ..hosting.tcp import split_address
 
-MOST = 256  # bytes of a datagram
+MAX_DATAGRAM_BYTES = 256
 DATAGRAMS_PER_TURN = 16  # read in one turn of the loop; the others wait in the kernel's buffer
 DATAGRAMS_PER_AGENT = 2  # that the buffers are sized for: its counts and a sum
-KERNEL_BYTES_PER_DATAGRAM = 1_536  # that the kernel charges to a buffer for a datagram of MOST bytes, at most
+KERNEL_BYTES_PER_DATAGRAM = 1_536  # at most charged to a buffer for a datagram of MAX_DATAGRAM_BYTES
 EventLogger = Callable[..., None]
 
 
 class Peers:
-    """peers: addresses in the order of the agents' numbers."""
+    """The datagram socket of one agent."""
 
     def __init__(
         self,
@@ -27,7 +30,18 @@
         everyone: str | None,
         log_event: EventLogger,
     ) -> None:
-        """Raises OSError."""
+        """Opens the socket.
+
+        Args:
+            engine_host: Receives the messages of other agents.
+            listen: Address of this agent's socket.
+            peers: Addresses of all agents, in the order of their numbers.
+            everyone: Address that reaches all agents at once; None: each agent is sent its own datagram.
+            log_event: Logs an event.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         self.engine_host, self.log_event = engine_host, log_event
         self._peers = [split_address(peer) for peer in peers]
         self._numbers = {peer: number for number, peer in enumerate(self._peers)}
@@ -42,19 +56,23 @@
         asyncio.get_event_loop().add_reader(self._socket.fileno(), self._readable)
 
     def _enlarge(self, buffer: int) -> None:
-        """Sizes a kernel buffer for all agents sending at once. The kernel sets twice the value requested, and at most
-        twice its own limit (net.core.rmem_max, wmem_max)."""
+        """Sizes a kernel buffer for all agents sending at once.
+
+        The kernel sets twice the value requested, and at most twice its own limit
+        (net.core.rmem_max, wmem_max).
+        """
         needed = len(self._peers) * DATAGRAMS_PER_AGENT * KERNEL_BYTES_PER_DATAGRAM
         if needed > self._socket.getsockopt(socket.SOL_SOCKET, buffer):
             self._socket.setsockopt(socket.SOL_SOCKET, buffer, needed // 2)
 
     def message(self, to: int | None, figures: list[int]) -> None:
+        """Sends figures to the agent of that number, or to all agents (None)."""
         text = " ".join(map(str, figures)).encode()
         if to is None:
             targets = [self._everyone] if self._everyone else self._peers
         else:
             targets = self._peers[to : to + 1]
-        if len(text) > MOST:
+        if len(text) > MAX_DATAGRAM_BYTES:
             self.log_event("message_too_long", level="warning", bytes=len(text))
             return
         for target in targets:
@@ -66,13 +84,13 @@
     def _readable(self) -> None:
         for _ in range(DATAGRAMS_PER_TURN):
             try:
-                text, sender = self._socket.recvfrom(MOST + 1)
-            except OSError:  # nothing more, or the echo of a datagram that nobody took
+                text, sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
+            except OSError:  # nothing more to read, or an ICMP error for a datagram that nobody received
                 return
             number = self._numbers.get(sender[:2])
             if number is None or number == self.engine_host.settings["me"]:
                 continue
-            if len(text) > MOST:  # its last figure may be cut
+            if len(text) > MAX_DATAGRAM_BYTES:  # its last figure may be cut
                 self.log_event("message_too_long", level="warning", sender=number)
             else:
                 self.engine_host.receive_message(
@@ -80,5 +98,6 @@
                 )
 
     def close(self) -> None:
+        """Closes the socket."""
         asyncio.get_event_loop().remove_reader(self._socket.fileno())
         self._socket.close()
