--- a/cartweir/wire/__init__.py
+++ b/cartweir/wire/__init__.py
@@ -1,5 +1,9 @@
-"""HTTP/2 and gRPC over Tornado's IOStream. Knows nothing about routing.
+"""HTTP/2 and gRPC over Tornado's IOStream, without any routing.
 
-grpc.py: names, codes and encodings of the gRPC protocol, without I/O. session.py: one HTTP/2 connection with
-flow control, without I/O. link.py: a session on a socket. calls.py: our own calls and services on links.
+Modules:
+    grpc: names, codes and encodings of the gRPC protocol, without I/O.
+    session: one HTTP/2 connection with flow control, without I/O.
+    connection: a session on a socket.
+    calls: a client and a server for the process's own calls.
+    tap: a capture file of all bytes on the sockets.
 """
--- a/cartweir/wire/calls.py
+++ b/cartweir/wire/calls.py
@@ -1,5 +1,7 @@
-"""Our own calls on links: a Channel for the client's end, a Service for the server's. Unary requests; answers of
-one message or of many. The router's path does not pass here: this is for news, votes, probes and stand-ins."""
+"""A client and a server for the process's own calls: registry, votes, probes, stand-ins.
+
+Requests are unary; responses hold one message or a stream of them. Invocations of clients do not pass here.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +17,25 @@
 from . import grpc
 from .connection import Connection, Tap
 from .grpc import Headers, MalformedError, MessageScanner, Status
-from .session import CONNECTION_LOST, REFUSED, UNPROCESSED, SessionLimits, Stream
+from .session import REFUSED, UNPROCESSED, SessionLimits, Stream
+
+DEFAULT_LIMITS = SessionLimits()
+MAX_MESSAGE_BYTES = 4 << 20
+MAX_BUFFER_BYTES = 256 * 1024  # of input that a server's stream buffers
+MAX_RETRY_DELAY_DIGITS = 7  # of grpc-retry-pushback-ms
 
 Metadata = Iterable[tuple[bytes, bytes]]
 
 
 class CallError(Exception):
-    """An answer other than OK, or none: status, text, and whether it is known that nothing ran."""
+    """A call had another status than OK, or no response.
+
+    Attributes:
+        status: The grpc-status.
+        text: The grpc-message, or what went wrong on this side.
+        never_ran: It is known that the request did not run.
+        metadata: Trailers of the response.
+    """
 
     def __init__(self, status: int, text: str, never_ran: bool = False, metadata: Headers = ()) -> None:
         super().__init__(f"{Status(status).name if status in Status._value2member_map_ else status}: {text}")
@@ -29,49 +43,51 @@
 
     @property
     def retry_delay(self) -> int:
-        """Microseconds after which the other side wants to be asked again; 0: it does not say."""
-        said = grpc.find(self.metadata, grpc.PUSHBACK) or b""
-        return int(said) * 1000 if said.isdigit() and len(said) < 8 else 0
+        """Microseconds after which the server wants the call repeated; 0: it does not say."""
+        value = grpc.find(self.metadata, grpc.PUSHBACK) or b""
+        return int(value) * 1000 if value.isdigit() and len(value) <= MAX_RETRY_DELAY_DIGITS else 0
 
 
 def retry_later(text: str, retry_delay: int) -> CallError:
-    """The refusal of one that is to ask again after so many microseconds: nothing ran."""
+    """Returns the refusal of a caller that is to retry after so many microseconds; nothing ran."""
     return CallError(Status.UNAVAILABLE, text, True, [(grpc.PUSHBACK, b"%d" % max(1, retry_delay // 1000))])
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
+    """A complete response of one message."""
+
     message: bytes
     headers: Headers = ()
     trailers: Headers = ()
 
 
-class _Call:
-    """Listener of one call of ours: messages and the end go into a queue."""
+class _ResponseListener:
+    """Listens to the response of one call and queues its messages, then its trailers or error."""
 
     def __init__(self, max_message_bytes: int) -> None:
         self.queue: asyncio.Queue = asyncio.Queue()
-        self.walk, self.body, self.head = MessageScanner(max_message_bytes), bytearray(), ()
+        self.scanner, self.body, self.headers = MessageScanner(max_message_bytes), bytearray(), ()
 
     def on_headers(self, stream: Stream, headers: Headers) -> None:
-        self.head = headers
+        self.headers = headers
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         stream.acknowledge(len(data))
         self.body += data
         try:
-            self.walk.feed(data)
-            while len(self.body) >= 5 and len(self.body) >= (
-                due := 5 + int.from_bytes(self.body[1:5], "big")
+            self.scanner.feed(data)
+            while len(self.body) >= grpc.PREFIX_SIZE and len(self.body) >= (
+                end := grpc.PREFIX_SIZE + int.from_bytes(self.body[1 : grpc.PREFIX_SIZE], "big")
             ):
-                self.queue.put_nowait(bytes(self.body[5:due]))
-                del self.body[:due]
+                self.queue.put_nowait(bytes(self.body[grpc.PREFIX_SIZE : end]))
+                del self.body[:end]
         except MalformedError as error:
             stream.reset()
             self.queue.put_nowait(CallError(Status.INTERNAL, str(error)))
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
-        status = grpc.status_of(self.head, trailers)
+        status = grpc.status_of(self.headers, trailers)
         text = grpc.decode_message(grpc.find(trailers, b"grpc-message") or b"")
         if status == 0 and not self.body:
             self.queue.put_nowait(trailers)
@@ -92,43 +108,51 @@
 
 
 class Channel:
-    """Calls to one address over one connection, opened at need and anew after it was lost."""
+    """Calls to one address over one connection, opened when needed and again after it was lost."""
 
     def __init__(
         self,
         address: str,
         connect_timeout: int,
-        limits: SessionLimits = SessionLimits(),
+        limits: SessionLimits = DEFAULT_LIMITS,
         tap: Tap | None = None,
-        max_message_bytes: int = 4 << 20,
+        max_message_bytes: int = MAX_MESSAGE_BYTES,
     ) -> None:
-        self.address, self.connect_timeout, self.limits, self.tap, self.max_message_bytes = (
-            address,
-            connect_timeout,
-            limits,
-            tap,
-            max_message_bytes,
-        )
-        self._link: Connection | None = None
+        """Connects nothing yet.
+
+        Args:
+            address: Address of the server.
+            connect_timeout: Microseconds for making a connection.
+            limits: What the connection grants the server.
+            tap: Sees all bytes.
+            max_message_bytes: Bytes that a message of a response may have.
+        """
+        self.address, self.connect_timeout = address, connect_timeout
+        self.limits, self.tap, self.max_message_bytes = limits, tap, max_message_bytes
+        self._connection: Connection | None = None
         self._opening: asyncio.Future | None = None
 
-    # ---- the link's owner ----
+    # ---- the connection's owner ----
     def on_stream(self, stream: Stream, headers: Headers) -> None:
+        """Resets a stream that the server opened: servers may not."""
         stream.reset(ErrorCodes.PROTOCOL_ERROR)
 
     def on_settings(self) -> None:
-        pass
+        """Nothing depends on the server's settings."""
 
     def on_goaway(self, code: int) -> None:
-        self._link = None
+        """Lets the next call open another connection."""
+        self._connection = None
 
-    def on_lost(self, link: Connection, why: str) -> None:
-        if self._link is link:
-            self._link = None
+    def on_lost(self, connection: Connection, why: str) -> None:
+        """Lets the next call open another connection."""
+        if self._connection is connection:
+            self._connection = None
 
     async def _ready(self) -> Connection:
-        if self._link is not None and not self._link.closed and self._link.session.can_open_stream:
-            return self._link
+        connection = self._connection
+        if connection is not None and not connection.closed and connection.session.can_open_stream:
+            return connection
         if self._opening is None:
             self._opening = asyncio.ensure_future(self._open())
             self._opening.add_done_callback(self._opened)
@@ -139,58 +163,66 @@
             stream = await connect(*split_address(self.address), self.connect_timeout)
         except OSError as error:
             raise CallError(Status.UNAVAILABLE, f"{self.address}: {error.strerror or error}", True) from None
-        if stream.closed():  # broken by the other side before this turn
+        if stream.closed():  # the peer broke it before this turn of the loop
             raise CallError(Status.UNAVAILABLE, f"{self.address}: broke as it was made", True)
-        self._link = Connection(stream, True, self.limits, self, self.tap)
-        return self._link
+        self._connection = Connection(stream, True, self.limits, self, self.tap)
+        return self._connection
 
     def _opened(self, done: asyncio.Future) -> None:
         self._opening = None
         if not done.cancelled():
-            done.exception()  # seen by whoever waits
+            done.exception()  # marks the error as retrieved; the callers that wait get it
 
     async def _start(
         self, path: str, message: bytes, timeout: int | None, metadata: Metadata
-    ) -> tuple[Stream, _Call]:
-        link, call = await self._ready(), _Call(self.max_message_bytes)
+    ) -> tuple[Stream, _ResponseListener]:
+        connection, listener = await self._ready(), _ResponseListener(self.max_message_bytes)
         headers = grpc.request_headers(path.encode(), self.address.encode(), timeout, metadata)
         try:
-            stream = link.session.open(headers, call)
+            stream = connection.session.open(headers, listener)
         except RuntimeError as error:
             raise CallError(Status.UNAVAILABLE, str(error), True) from None
         stream.send_data(grpc.frame(message), end=True)
-        return stream, call
+        return stream, listener
 
-    async def unary(self, path: str, message: bytes, timeout: int, metadata: Metadata = ()) -> Answer:
-        """One answer within so many microseconds. Raises CallError."""
+    async def unary(self, path: str, message: bytes, timeout: int, metadata: Metadata = ()) -> Response:
+        """Returns the response to a call; timeout: in microseconds, including the connection.
+
+        Raises:
+            CallError: The status is not OK, or there was no response in time.
+        """
         started: list[Stream] = []
 
-        async def run() -> Answer:
-            stream, call = await self._start(path, message, timeout, metadata)
+        async def run() -> Response:
+            stream, listener = await self._start(path, message, timeout, metadata)
             started.append(stream)
-            found = await call.queue.get()
-            tail = await call.queue.get() if isinstance(found, bytes) else found
-            for item in (found, tail):
+            first = await listener.queue.get()
+            trailers = await listener.queue.get() if isinstance(first, bytes) else first
+            for item in (first, trailers):
                 if isinstance(item, CallError):
                     raise item
-            if not isinstance(found, bytes) or isinstance(tail, bytes):
+            if not isinstance(first, bytes) or isinstance(trailers, bytes):
                 raise CallError(Status.INTERNAL, "one message was due")
-            return Answer(found, call.head, tail)
+            return Response(first, listener.headers, trailers)
 
         try:
             return await asyncio.wait_for(run(), timeout / 1e6)
-        except (asyncio.TimeoutError, TimeoutError):
+        except TimeoutError:
             raise CallError(Status.DEADLINE_EXCEEDED, f"no answer within {timeout / 1000:.0f} ms") from None
         finally:
             if started:
                 started[0].reset()
 
     async def stream(self, path: str, message: bytes, metadata: Metadata = ()) -> AsyncIterator[bytes]:
-        """Messages as they come; ends with the other side's OK. Raises CallError."""
-        stream, call = await self._start(path, message, None, metadata)
+        """Yields the messages of a response as they arrive, until the server ends it with OK.
+
+        Raises:
+            CallError: The response ended otherwise.
+        """
+        stream, listener = await self._start(path, message, None, metadata)
         try:
             while True:
-                item = await call.queue.get()
+                item = await listener.queue.get()
                 if isinstance(item, CallError):
                     raise item
                 if not isinstance(item, bytes):
@@ -200,57 +232,77 @@
             stream.reset()
 
     def close(self) -> None:
-        if self._link is not None:
-            self._link.close("closed by us")
+        """Closes the connection."""
+        if self._connection is not None:
+            self._connection.close("closed by us")
 
 
 # ---- the server's end ---------------------------------------------------------------------------------
 @dataclass(eq=False)
 class Request:
-    """One call that came in, whole."""
+    """A complete call that a server received; listens to its stream while the response is written.
+
+    Attributes:
+        path: The path, /package.Service/Method.
+        headers: The headers.
+        message: The one message.
+        stream: The stream.
+        connection: The connection that carries the stream.
+        cancelled: The client has left.
+        trailers: Metadata to send after the response.
+    """
 
     path: str
     headers: Headers
     message: bytes
     stream: Stream
     connection: Connection
-    cancelled: bool = False  # the client has left
-    trailers: list = field(default_factory=list)  # metadata to go behind the answer
+    cancelled: bool = False
+    trailers: list = field(default_factory=list)
     _started: bool = False
 
     def send(self, message: bytes) -> None:
-        """One message of the answer, behind those sent before."""
+        """Sends one message of the response, after those sent before."""
         if not self._started:
             self._started = True
             self.stream.send_headers(grpc.response_headers())
         self.stream.send_data(grpc.frame(message))
 
     def finish(self, status: int = 0, text: str = "") -> None:
-        tail = grpc.trailers(status, text, self.trailers)
+        """Ends the response."""
+        trailers = grpc.trailers(status, text, self.trailers)
         if self._started:
-            self.stream.send_trailers(tail)
+            self.stream.send_trailers(trailers)
         else:
-            self.stream.send_headers([*grpc.response_headers(), *tail], end=True)
+            self.stream.send_headers([*grpc.response_headers(), *trailers], end=True)
 
-    # ---- as the stream's listener, while the answer is under way ----
-    def on_headers(self, stream: Stream, headers: Headers) -> None: ...
-    def on_data(self, stream: Stream, data: bytes) -> None: ...
-    def on_end(self, stream: Stream, trailers: Headers) -> None: ...
-    def on_sent(self, stream: Stream, size: int) -> None: ...
+    # ---- the stream's listener while the response is written ----
+    def on_headers(self, stream: Stream, headers: Headers) -> None:
+        """Nothing more is expected from the client."""
+
+    def on_data(self, stream: Stream, data: bytes) -> None:
+        """Nothing more is expected from the client."""
+
+    def on_end(self, stream: Stream, trailers: Headers) -> None:
+        """Nothing more is expected from the client."""
+
+    def on_sent(self, stream: Stream, size: int) -> None:
+        """Nothing waits for what has been sent."""
 
     def on_aborted(self, stream: Stream, how: str, code: int) -> None:
+        """Notes that the client has left."""
         self.cancelled = True
 
 
 Handler = Callable[[Request], Awaitable[bytes | None]]
 
 
-class _Coming:
-    """Listener of a request until it is whole."""
+class _RequestListener:
+    """Listens to a request until it is complete."""
 
-    def __init__(self, service: Service, link: Connection, headers: Headers) -> None:
-        self.service, self.connection, self.headers = service, link, headers
-        self.body, self.walk = bytearray(), MessageScanner(service.max_message_bytes)
+    def __init__(self, service: Service, connection: Connection, headers: Headers) -> None:
+        self.service, self.connection, self.headers = service, connection, headers
+        self.body, self.scanner = bytearray(), MessageScanner(service.max_message_bytes)
 
     def on_headers(self, stream: Stream, headers: Headers) -> None: ...
     def on_sent(self, stream: Stream, size: int) -> None: ...
@@ -260,10 +312,12 @@
         stream.acknowledge(len(data))
         self.body += data
         try:
-            self.walk.feed(data)
+            self.scanner.feed(data)
         except MalformedError as error:
             self._refuse(
-                stream, Status.RESOURCE_EXHAUSTED if self.walk.messages == 0 else Status.INTERNAL, str(error)
+                stream,
+                Status.RESOURCE_EXHAUSTED if self.scanner.messages == 0 else Status.INTERNAL,
+                str(error),
             )
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
@@ -289,35 +343,57 @@
 
 
 class Service(TCPServer):
-    """Serves handlers by path. A handler returns the one message of its answer, or None if it has sent and
-    finished by itself; a CallError that it raises is the answer."""
+    """A server that dispatches calls to handlers by path.
+
+    A handler returns the one message of its response, or None if it has sent and finished the response
+    itself. A CallError that it raises becomes the response.
+
+    Attributes:
+        handlers: Handlers by path.
+        default_handler: Handler for every other path; None: they are unimplemented.
+        connections: Open connections.
+        accepted: Connections accepted since the start.
+    """
 
     def __init__(
         self,
-        limits: SessionLimits = SessionLimits(),
+        limits: SessionLimits = DEFAULT_LIMITS,
         tap: Tap | None = None,
-        max_message_bytes: int = 4 << 20,
+        max_message_bytes: int = MAX_MESSAGE_BYTES,
     ) -> None:
-        super().__init__(max_buffer_size=256 * 1024)
+        """Listens to nothing yet.
+
+        Args:
+            limits: What each connection grants its client.
+            tap: Sees all bytes.
+            max_message_bytes: Bytes that a request's message may have.
+        """
+        super().__init__(max_buffer_size=MAX_BUFFER_BYTES)
         self.limits, self.tap, self.max_message_bytes = limits, tap, max_message_bytes
         self.handlers: dict[str, Handler] = {}
-        self.default_handler: Handler | None = None  # for every other path
+        self.default_handler: Handler | None = None
         self.connections: set[Connection] = set()
-        self.accepted = 0  # connections, since the start
+        self.accepted = 0
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
+        """Called by Tornado with a new connection."""
         self.accepted += 1
-        owner = _Accepted(self)
+        owner = _AcceptedConnection(self)
         owner.connection = Connection(stream, False, self.limits, owner, self.tap)
         self.connections.add(owner.connection)
 
     def listen_on(self, address: str) -> str:
-        """Returns the address with the port it got. Raises OSError."""
+        """Listens, and returns the address with the port that was bound.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         host, port = split_address(address)
         self.listen(port, host)
         return f"{host}:{self.port}"
 
     async def handle(self, handler: Handler, request: Request) -> None:
+        """Runs a handler and sends its response."""
         try:
             message = await handler(request)
         except CallError as error:
@@ -330,28 +406,32 @@
 
     @property
     def port(self) -> int:
+        """The port that is listened to."""
         return next(iter(self._sockets.values())).getsockname()[1]
 
     def shutdown(self) -> None:
+        """Stops listening and closes all connections."""
         self.stop()
-        for link in list(self.connections):
-            link.close("service shut")
+        for connection in list(self.connections):
+            connection.close("service shut")
+
 
+class _AcceptedConnection:
+    """Owns one connection of a service."""
 
-class _Accepted:
     connection: Connection
 
     def __init__(self, service: Service) -> None:
         self.service = service
 
-    def on_stream(self, stream: Stream, headers: Headers) -> _Coming:
-        return _Coming(self.service, self.connection, headers)
+    def on_stream(self, stream: Stream, headers: Headers) -> _RequestListener:
+        return _RequestListener(self.service, self.connection, headers)
 
     def on_settings(self) -> None: ...
     def on_goaway(self, code: int) -> None: ...
 
-    def on_lost(self, link: Connection, why: str) -> None:
-        self.service.connections.discard(link)
+    def on_lost(self, connection: Connection, why: str) -> None:
+        self.service.connections.discard(connection)
 
 
-__all__ = ["Answer", "CallError", "Channel", "Request", "Service"]
+__all__ = ["CallError", "Channel", "Request", "Response", "Service"]
--- a/cartweir/wire/connection.py
+++ b/cartweir/wire/connection.py
@@ -1,4 +1,4 @@
-"""A session on a socket: reads, feeds, and writes once a turn of the loop what the session has to say."""
+"""An HTTP/2 session on a socket: feeds it input, and writes its output once a turn of the loop."""
 
 from __future__ import annotations
 
@@ -13,30 +13,48 @@
 from .grpc import Headers
 from .session import Session, SessionLimits, Stream, StreamListener
 
-MOST_UNSENT = (
-    256 * 1024
-)  # bytes handed to the socket that it has not taken; more stays in the streams' queues
+MAX_UNSENT_BYTES = 256 * 1024  # handed to the socket and not yet taken; more stays in the streams' queues
 
 
 class Tap(Protocol):
-    """Sees each byte that a link reads or writes, in order."""
+    """Sees all bytes that a connection reads or writes, in order."""
 
-    def opened(self, ours: str, theirs: str) -> int: ...
-    def passed(self, link: int, out: bool, data: bytes) -> None: ...
-    def closed(self, link: int, why: str) -> None: ...
+    def opened(self, local_address: str, peer_address: str) -> int:
+        """Returns a number for a new connection."""
+
+    def transferred(self, connection: int, outgoing: bool, data: bytes) -> None:
+        """Bytes were read, or are about to be written."""
+
+    def closed(self, connection: int, why: str) -> None:
+        """The connection has ended."""
 
 
 class ConnectionOwner(Protocol):
-    """Whoever opened or accepted the link."""
+    """Opened or accepted a connection, and hears of what concerns the whole of it."""
+
+    def on_stream(self, stream: Stream, headers: Headers) -> StreamListener:
+        """The peer opened a stream; returns its listener."""
+
+    def on_settings(self) -> None:
+        """The peer's settings have arrived or changed."""
 
-    def on_stream(self, stream: Stream, headers: Headers) -> StreamListener: ...
-    def on_settings(self) -> None: ...
-    def on_goaway(self, code: int) -> None: ...
-    def on_lost(self, link: Connection, why: str) -> None: ...
+    def on_goaway(self, code: int) -> None:
+        """No new stream can be opened any more."""
+
+    def on_lost(self, connection: Connection, why: str) -> None:
+        """The connection has ended."""
 
 
 class Connection:
-    """Owns an IOStream until it is closed. Streams are opened through `session`."""
+    """Owns an IOStream until it is closed. Streams are opened through `session`.
+
+    Attributes:
+        session: The HTTP/2 session.
+        bytes_processed: Bytes of input handled so far, without those being handled now.
+        local_address: Address of this end; "?" where it cannot be told.
+        peer_address: Address of the other end; "?" where it cannot be told.
+        reading: The task that reads.
+    """
 
     def __init__(
         self,
@@ -46,21 +64,28 @@
         owner: ConnectionOwner,
         tap: Tap | None = None,
     ) -> None:
+        """Starts to read and write.
+
+        Args:
+            stream: A connected stream.
+            client: Whether this end opened the connection.
+            limits: What this end grants the other.
+            owner: Hears of streams and of the end.
+            tap: Sees all bytes.
+        """
         self._stream, self._owner, self._tap = stream, owner, tap
         self.session = Session(client, limits, owner)
-        self.session.wake = self._wake
-        self._scheduled = self._closed = False
+        self.session.on_output = self._schedule_flush
+        self._flush_scheduled = self._closed = False
         self._unsent = 0
-        self.bytes_processed = 0  # bytes dealt with, before those that are being dealt with now
+        self.bytes_processed = 0
         stream.set_nodelay(True)
-        self.local_address, self.peer_address = (
-            _name(stream.socket, "getsockname"),
-            _name(stream.socket, "getpeername"),
-        )
-        self._number = tap.opened(self.local_address, self.peer_address) if tap else 0
+        self.local_address = _format_address(stream.socket, "getsockname")
+        self.peer_address = _format_address(stream.socket, "getpeername")
+        self._tap_number = tap.opened(self.local_address, self.peer_address) if tap else 0
         self._paused: asyncio.Event | None = None
         self._loop = IOLoop.current()
-        self._wake()
+        self._schedule_flush()
         self.reading = asyncio.ensure_future(self._read())
 
     # ---- reading ----
@@ -74,18 +99,18 @@
                 if self._closed:
                     return
                 if self._tap:
-                    self._tap.passed(self._number, False, data)
+                    self._tap.transferred(self._tap_number, False, data)
                 self.session.receive(data)
                 self.bytes_processed += len(data)
-                if self.session.broken:
-                    why = self.session.broken
+                if self.session.failure:
+                    why = self.session.failure
                     break
         except StreamClosedError as error:
             if error.real_error is not None:
                 why = str(error.real_error)
         except UnsatisfiableReadError:
             why = "too much to read"
-        except Exception as error:  # noqa: BLE001 - a fault of ours ends this link, and is told
+        except Exception as error:  # an internal error ends this connection, and is reported
             why = f"internal error: {error!r}"
             asyncio.get_running_loop().call_exception_handler(
                 {"message": f"link {self.peer_address}", "exception": error}
@@ -93,52 +118,58 @@
         self.close(why)
 
     def pause(self) -> None:
-        """Read no more until resume(): bytes stay in the socket."""
+        """Stops reading until `resume`; bytes stay in the socket."""
         self._paused = self._paused or asyncio.Event()
 
     def resume(self) -> None:
+        """Continues to read."""
         if self._paused is not None:
             self._paused.set()
             self._paused = None
 
     # ---- writing ----
-    def _wake(self) -> None:
-        if not (self._scheduled or self._closed):
-            self._scheduled = True
+    def _schedule_flush(self) -> None:
+        if not (self._flush_scheduled or self._closed):
+            self._flush_scheduled = True
             self._loop.add_callback(self.flush)
 
     def flush(self) -> None:
-        """Write what the session has to say, as far as the socket has taken what went before."""
-        self._scheduled = False
+        """Writes the session's output, as far as the socket has taken what was written before."""
+        self._flush_scheduled = False
         if self._closed:
             return
-        data = self.session.take_output(MOST_UNSENT - self._unsent)
+        data = self.session.take_output(MAX_UNSENT_BYTES - self._unsent)
         if data:
             if self._tap:
-                self._tap.passed(self._number, True, data)
+                self._tap.transferred(self._tap_number, True, data)
             self._unsent += len(data)
             try:
                 written = self._stream.write(data)
             except StreamClosedError:
-                return  # the reader hears of it too
-            written.add_done_callback(lambda done: self._written(len(data), done))
+                return  # the reader gets the same error
+            written.add_done_callback(lambda done: self._on_written(len(data), done))
 
-    def _written(self, size: int, done: asyncio.Future) -> None:
+    def _on_written(self, size: int, done: asyncio.Future) -> None:
         self._unsent -= size
-        if not done.cancelled() and done.exception() is None and self.session.waiting:
-            self._wake()
+        if not done.cancelled() and done.exception() is None and self.session.output_pending:
+            self._schedule_flush()
 
     @property
     def unsent(self) -> int:
+        """Bytes handed to the socket that it has not taken yet."""
         return self._unsent
 
     # ---- the end ----
     @property
     def closed(self) -> bool:
+        """Whether the connection has ended."""
         return self._closed
 
     def close(self, why: str) -> None:
-        """At once; streams that are open are lost. What was said before is still written if the socket takes it."""
+        """Closes the connection at once; open streams are lost.
+
+        Output that is ready is still written if the socket takes it.
+        """
         if self._closed:
             return
         self.session.fail(why)
@@ -146,14 +177,14 @@
         self._closed = True
         self.resume()
         if self._tap:
-            self._tap.closed(self._number, why)
+            self._tap.closed(self._tap_number, why)
         self._stream.close()
         self._owner.on_lost(self, why)
 
 
-def _name(sock: socket.socket, which: str) -> str:
+def _format_address(sock: socket.socket, method: str) -> str:
     try:
-        host, port = getattr(sock, which)()[:2]
+        host, port = getattr(sock, method)()[:2]
     except OSError:
         return "?"
     return f"{host}:{port}"
--- a/cartweir/wire/session.py
+++ b/cartweir/wire/session.py
@@ -1,7 +1,10 @@
-"""One HTTP/2 connection without I/O: h2 for frames and states, and on top of it queues by stream that obey both
-flow-control windows, windows that open only as the reader takes what came, and plain words for how a stream ended.
+"""One HTTP/2 connection without I/O.
 
-Bytes in by receive(), bytes out by pump(). News goes to the listener of each stream and to the session's owner.
+h2 handles frames and states. On top of it are a queue for each stream that obeys both flow-control windows,
+windows that open only as the reader takes what arrived, and a plain reason for each stream that ended early.
+
+Input goes in by `Session.receive`, output comes out by `Session.take_output`. Events go to the listener of
+each stream and to the session's owner.
 """
 
 from __future__ import annotations
@@ -21,119 +24,150 @@
 
 from .grpc import Headers
 
-WIDEST = 2**31 - 1
-# How a stream can end before its time, as far as its work is concerned.
-RESET, REFUSED, UNPROCESSED, CONNECTION_LOST = "reset", "refused", "unseen", "lost"
+MAX_WINDOW = 2**31 - 1  # bytes; the largest flow-control window of HTTP/2
+DEFAULT_WINDOW = 65_535  # bytes; of a connection as it starts
+MAX_FRAME_SIZE = 16_384  # bytes of input
+
+# How a stream can end early, as far as the request on it is concerned.
+RESET = "reset"  # by the peer
+REFUSED = "refused"  # by the peer, before the request could run
+UNPROCESSED = "unseen"  # GOAWAY says that the peer has not processed it
+CONNECTION_LOST = "lost"
 
 
 @dataclass(frozen=True, slots=True)
 class SessionLimits:
-    """What this side grants the other; sizes in bytes."""
+    """What one end grants the other.
 
-    streams: int = 1000  # at once, opened by the other side
-    window: int = 256 * 1024  # of each stream: what may be under way unread
-    header_list: int = 32 * 1024  # of one header block, as HTTP/2 counts it
+    Attributes:
+        streams: Streams at a time that the other end may open.
+        window: Bytes on each stream that may be sent before the reader takes them.
+        header_list: Bytes of one header block, as HTTP/2 counts them.
+    """
+
+    streams: int = 1000
+    window: int = 256 * 1024
+    header_list: int = 32 * 1024
 
 
 class StreamListener(Protocol):
-    """Hears what happens on one stream. May send on it, or reset it, from within."""
+    """Handles the events of one stream. It may send on the stream, or reset it, from within a method."""
 
-    def on_headers(self, stream: Stream, headers: Headers) -> None: ...
+    def on_headers(self, stream: Stream, headers: Headers) -> None:
+        """The first headers of a response have arrived."""
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        """The reader owes a stream.acknowledge(len(data)) once it has room for more."""
+        """Data has arrived; call stream.acknowledge(len(data)) once there is room for more."""
 
     def on_end(self, stream: Stream, trailers: Headers) -> None:
-        """The other side has said all; trailers may be empty, or all there is of the answer."""
+        """The peer has sent everything; trailers may be empty, or the only headers of the response."""
 
     def on_aborted(self, stream: Stream, how: str, code: int) -> None:
-        """Ended before its time: RESET by the other side, REFUSED or UNSEEN (it never ran), LOST with the link."""
+        """The stream ended early: RESET, REFUSED, UNPROCESSED or CONNECTION_LOST, with HTTP/2's error code.
+
+        A request that was REFUSED or UNPROCESSED never ran.
+        """
 
     def on_sent(self, stream: Stream, size: int) -> None:
-        """So many bytes of what was queued have gone out."""
+        """So many queued bytes have become output."""
 
 
-class Owner(Protocol):
+class SessionOwner(Protocol):
+    """Handles the events that concern the whole connection."""
+
     def on_stream(self, stream: Stream, headers: Headers) -> StreamListener:
-        """A server's: the other side opened a stream."""
+        """The peer, a client, has opened a stream; returns the stream's listener."""
 
     def on_settings(self) -> None:
-        """The other side's settings have come or changed."""
+        """The peer's settings have arrived or changed."""
 
     def on_goaway(self, code: int) -> None:
-        """GOAWAY: no new stream can be opened here."""
+        """The peer has sent GOAWAY: no new stream can be opened here."""
 
 
 class Stream:
-    """One stream of a session, from our side."""
+    """One stream of a session, seen from this end.
+
+    Attributes:
+        id: The stream's number.
+        queued: Bytes that wait for the flow-control windows.
+        end_sent: This end has sent everything.
+        end_received: The peer has sent everything.
+        closed: The stream has ended, and its listener gets no more events.
+    """
 
     __slots__ = (
-        "session",
-        "id",
-        "listener",
-        "_queue",
-        "queued",
-        "_tail",
         "_ending",
         "_got_headers",
-        "_untaken",
-        "end_sent",
-        "end_received",
+        "_queue",
+        "_trailers",
+        "_ungranted",
         "closed",
+        "end_received",
+        "end_sent",
+        "id",
+        "listener",
+        "queued",
+        "session",
     )
 
     def __init__(self, session: Session, stream_id: int, listener: StreamListener | None) -> None:
         self.session, self.id, self.listener = session, stream_id, listener
         self._queue: deque[memoryview] = deque()
-        self.queued = 0  # bytes that wait for the windows
-        self._tail: Headers | None = None  # trailers that follow them
-        self._ending = False
+        self.queued = 0
+        self._trailers: Headers | None = None  # that follow the queue
+        self._ending = False  # the queue and trailers are the rest
         self._got_headers = False
-        self._untaken = 0  # bytes taken by the reader, but not yet granted anew
+        self._ungranted = 0  # bytes taken by the reader and not yet granted again
         self.end_sent = self.end_received = self.closed = False
 
     def send_headers(self, headers: Headers, end: bool = False) -> None:
+        """Sends headers at once; end: nothing follows."""
         if not self.closed:
             self.session._send_headers(self, headers, end)
 
     def send_data(self, data: bytes, end: bool = False) -> None:
-        """Queued until the windows let it out."""
+        """Queues data until the windows allow it to be sent; end: nothing follows."""
         if self.closed or self._ending:
             return
         if data:
             self._queue.append(memoryview(data))
             self.queued += len(data)
         self._ending = end
-        self.session._ready(self)
+        self.session._schedule(self)
 
     def send_trailers(self, headers: Headers) -> None:
-        """Ends our side, behind what is queued."""
+        """Sends trailers after the queued data, and ends this side."""
         if self.closed or self._ending:
             return
-        self._tail, self._ending = headers, True
-        self.session._ready(self)
+        self._trailers, self._ending = headers, True
+        self.session._schedule(self)
 
     def acknowledge(self, size: int) -> None:
-        """The reader has room for so many bytes more."""
-        self._untaken += size
-        if not (self.closed or self.end_received) and self._untaken * 2 >= self.session.limits.window:
+        """The reader has room for so many more bytes."""
+        self._ungranted += size
+        if not (self.closed or self.end_received) and self._ungranted * 2 >= self.session.limits.window:
             self.session._grant(self)
 
     def reset(self, code: int = ErrorCodes.CANCEL) -> None:
-        """Ends the stream at once; its listener hears no more."""
+        """Ends the stream at once; its listener gets no more events."""
         self.session._reset(self, code)
 
 
-class _Frames(H2Connection):
-    """h2 takes a connection for closed once GOAWAY has come; the streams up to its mark may still be answered."""
+class _FrameConnection(H2Connection):
+    """h2's connection, changed in two points.
+
+    h2 takes a connection for closed once GOAWAY has arrived, while streams up to the last one that GOAWAY
+    names may still be answered. And h2 drops the events of one piece of input that precede an error in it.
+    """
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list, list]:
         event = events.ConnectionTerminated()
         event.error_code, event.last_stream_id = frame.error_code, frame.last_stream_id
         return [], [event]
 
-    def take(self, data: bytes) -> tuple[list[events.Event], str | None]:
-        """As receive_data(), which forgets what came before a fault in the same piece: news, and the fault."""
+    def receive(self, data: bytes) -> tuple[list[events.Event], str | None]:
+        """Returns the events of some input, and the protocol error that ended it, if any."""
         found: list[events.Event] = []
         self.incoming_buffer.max_frame_size = self.max_inbound_frame_size
         try:
@@ -150,19 +184,30 @@
 
 
 class Session:
-    """Either end of a connection. Raises nothing on the other side's faults: `broken` then tells, and the bytes
-    that pump() gives still hold the GOAWAY that says so. `wake` is called whenever pump() may have more."""
+    """Either end of a connection.
 
-    def __init__(self, client: bool, limits: SessionLimits, owner: Owner) -> None:
+    It raises nothing for the peer's errors: `failure` then tells, and the output still holds the GOAWAY that
+    reports it.
+
+    Attributes:
+        client: Whether this end opened the connection.
+        streams: Open streams by number.
+        failure: Why the connection is of no more use; None while it works.
+        closing: GOAWAY was sent or received: there are no new streams.
+        pending_pings: Payloads of pings that the peer has not answered.
+        on_output: Called whenever `take_output` may have more.
+    """
+
+    def __init__(self, client: bool, limits: SessionLimits, owner: SessionOwner) -> None:
         self.client, self.limits, self.owner = client, limits, owner
         self.streams: dict[int, Stream] = {}
-        self.broken: str | None = None  # why no more can be done
-        self.closing = False  # GOAWAY has come or gone: no new streams
+        self.failure: str | None = None
+        self.closing = False
         self.pending_pings: set[bytes] = set()
-        self.wake: Callable[[], None] = lambda: None
-        self._waiting: dict[int, Stream] = {}  # streams with something to send, in turn
-        self._blocked: dict[int, Stream] = {}  # those for which a window is shut
-        self._heard = 0  # bytes of DATA that the connection's window has not been given back
+        self.on_output: Callable[[], None] = lambda: None
+        self._sending: dict[int, Stream] = {}  # streams with something to send, in turn
+        self._blocked: dict[int, Stream] = {}  # streams that a flow-control window blocks
+        self._ungranted = 0  # bytes of DATA that the connection's window has not been given back
         config = H2Configuration(
             client_side=client,
             header_encoding=None,
@@ -170,8 +215,8 @@
             normalize_outbound_headers=False,
             validate_inbound_headers=True,
         )
-        self._h2 = _Frames(config)
-        # a slow stream holds its own window only: the connection's is as wide as can be
+        self._h2 = _FrameConnection(config)
+        # The connection's window is as large as possible, so that a slow stream holds up only itself.
         self._h2.local_settings = type(self._h2.local_settings)(
             client=client,
             initial_values={
@@ -179,30 +224,40 @@
                 SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
                 SettingCodes.INITIAL_WINDOW_SIZE: limits.window,
                 SettingCodes.MAX_HEADER_LIST_SIZE: limits.header_list,
-                SettingCodes.MAX_FRAME_SIZE: 16384,
+                SettingCodes.MAX_FRAME_SIZE: MAX_FRAME_SIZE,
             },
         )
         if not client:
             del self._h2.local_settings[SettingCodes.ENABLE_PUSH]
         self._h2.decoder.max_header_list_size = limits.header_list
-        self._h2.max_inbound_frame_size = 16384
+        self._h2.max_inbound_frame_size = MAX_FRAME_SIZE
         self._h2.initiate_connection()
-        # from here on we count: h2 would end the connection over a stream too many, we refuse the stream
+        # Streams are counted here from now on: h2 would end the connection because of a stream too many,
+        # while the session refuses that stream.
         del self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS]
-        self._h2.increment_flow_control_window(WIDEST - 65535)
+        self._h2.increment_flow_control_window(MAX_WINDOW - DEFAULT_WINDOW)
 
-    # ---- what the owner does ----
+    # ---- for the owner ----
     @property
     def can_open_stream(self) -> bool:
-        """A new stream may be opened now."""
+        """Whether a new stream may be opened now."""
         return (
-            not self.broken
+            not self.failure
             and not self.closing
             and (len(self.streams) < self._h2.remote_settings.max_concurrent_streams)
         )
 
     def open(self, headers: Headers, listener: StreamListener, end: bool = False) -> Stream:
-        """A client's: raises RuntimeError where there is no room."""
+        """Opens a stream, at a client.
+
+        Args:
+            headers: Headers of the request.
+            listener: Handles the stream's events.
+            end: Whether nothing follows the headers.
+
+        Raises:
+            RuntimeError: No stream may be opened now.
+        """
         if not self.can_open_stream:
             raise RuntimeError("no room for a stream")
         try:
@@ -214,62 +269,63 @@
         self.streams[stream_id] = stream
         self._h2.send_headers(stream_id, headers, end_stream=end)
         stream.end_sent = stream._ending = end
-        self.wake()
+        self.on_output()
         return stream
 
     def send_goaway(self, code: int = ErrorCodes.NO_ERROR) -> None:
-        """GOAWAY; streams that are open may end in peace."""
-        if not self.closing and not self.broken:
+        """Announces that no new streams are accepted; open ones go on to their end."""
+        if not self.closing and not self.failure:
             self.closing = True
-            # h2 refuses every frame behind its own GOAWAY, so it is written here by hand
+            # Written by hand, as h2 refuses to send any frame after its own GOAWAY.
             last = self._h2.highest_inbound_stream_id
             self._h2._data_to_send += (
                 b"\x00\x00\x08\x07\x00\x00\x00\x00\x00"
                 + last.to_bytes(4, "big")
                 + int(code).to_bytes(4, "big")
             )
-            self.wake()
+            self.on_output()
 
     def ping(self, payload: bytes) -> None:
-        """Eight bytes; they stand in pings_due until the other side has sent them back."""
-        if not self.broken:
+        """Sends eight bytes, which stay in `pending_pings` until the peer has sent them back."""
+        if not self.failure:
             self.pending_pings.add(payload)
             self._h2.ping(payload)
-            self.wake()
+            self.on_output()
 
     def receive(self, data: bytes) -> None:
-        if self.broken:
+        """Handles input."""
+        if self.failure:
             return
-        news, fault = self._h2.take(data)
-        for event in news:
+        found, error = self._h2.receive(data)
+        for event in found:
             handle = _HANDLERS.get(type(event))
             if handle is not None:
                 handle(self, event)
-        if fault is not None:
-            self.fail(fault)
+        if error is not None:
+            self.fail(error)
             return
-        if self._heard * 2 >= WIDEST:
-            self._h2.increment_flow_control_window(self._heard)
-            self._heard = 0
-        self.wake()
+        if self._ungranted * 2 >= MAX_WINDOW:
+            self._h2.increment_flow_control_window(self._ungranted)
+            self._ungranted = 0
+        self.on_output()
 
     def fail(self, reason: str) -> None:
-        """The connection is of no more use; every open stream is LOST."""
-        if self.broken is None:
-            self.broken = reason
+        """Gives up the connection; every open stream ends as CONNECTION_LOST."""
+        if self.failure is None:
+            self.failure = reason
             for stream in list(self.streams.values()):
-                self._drop(stream, CONNECTION_LOST, 0)
+                self._abort(stream, CONNECTION_LOST, 0)
 
     def take_output(self, room: int) -> bytes:
-        """What is to be written next, with about `room` bytes of bodies at most; streams take turns."""
-        while self._waiting and room > 0 and not self.broken:
-            room -= self._push(self._waiting.pop(next(iter(self._waiting))), room)
+        """Returns what is to be written next, with about `room` bytes of data at most; streams take turns."""
+        while self._sending and room > 0 and not self.failure:
+            room -= self._push(self._sending.pop(next(iter(self._sending))), room)
         return self._h2.data_to_send()
 
     @property
-    def waiting(self) -> bool:
-        """pump() would have more if given more room."""
-        return bool(self._waiting)
+    def output_pending(self) -> bool:
+        """Whether `take_output` would return more if given more room."""
+        return bool(self._sending)
 
     # ---- sending ----
     def _send_headers(self, stream: Stream, headers: Headers, end: bool) -> None:
@@ -279,27 +335,30 @@
             return
         if end:
             stream._ending = True
-            self._said_all(stream)
-        self.wake()
+            self._mark_end_sent(stream)
+        self.on_output()
 
-    def _ready(self, stream: Stream) -> None:
+    def _schedule(self, stream: Stream) -> None:
         if stream.id not in self._blocked:
-            self._waiting[stream.id] = stream
-            self.wake()
+            self._sending[stream.id] = stream
+            self.on_output()
 
     def _push(self, stream: Stream, room: int) -> int:
-        """One frame of a stream, if the windows allow it; it then goes to the end of the row. Returns bytes moved."""
+        """Sends one frame of a stream if the windows allow it, and puts the stream last in turn.
+
+        Returns the bytes of data sent.
+        """
         try:
             if stream.queued:
                 return self._push_data(stream, room)
-            if stream._tail is not None:
-                self._h2.send_headers(stream.id, stream._tail, end_stream=True)
-                self._said_all(stream)
+            if stream._trailers is not None:
+                self._h2.send_headers(stream.id, stream._trailers, end_stream=True)
+                self._mark_end_sent(stream)
             elif stream._ending:
                 self._h2.send_data(stream.id, b"", end_stream=True)
-                self._said_all(stream)
+                self._mark_end_sent(stream)
         except exceptions.StreamClosedError:
-            pass  # the reset that closed it is among the news at hand
+            pass  # the reset that closed it is among the events being handled
         return 0
 
     def _push_data(self, stream: Stream, room: int) -> int:
@@ -313,7 +372,7 @@
         if size <= 0:
             self._blocked[stream.id] = stream
             return 0
-        last = size == stream.queued and stream._ending and stream._tail is None
+        last = size == stream.queued and stream._ending and stream._trailers is None
         self._h2.send_data(stream.id, piece[:size], end_stream=last)
         stream.queued -= size
         if size == len(piece):
@@ -322,48 +381,51 @@
             stream._queue[0] = piece[size:]
         listener = stream.listener
         if last:
-            self._said_all(stream)
+            self._mark_end_sent(stream)
         elif stream.queued or stream._ending:
-            self._waiting[stream.id] = stream
+            self._sending[stream.id] = stream
         if listener is not None:
             listener.on_sent(stream, size)
         return size
 
-    def _said_all(self, stream: Stream) -> None:
+    def _mark_end_sent(self, stream: Stream) -> None:
         stream.end_sent = True
         if stream.end_received:
             self._forget(stream)
 
     def _grant(self, stream: Stream) -> None:
-        size, stream._untaken = stream._untaken, 0
+        size, stream._ungranted = stream._ungranted, 0
         try:
             self._h2.increment_flow_control_window(size, stream.id)
         except (exceptions.StreamClosedError, exceptions.NoSuchStreamError):
             return
-        self.wake()
+        self.on_output()
 
     def _reset(self, stream: Stream, code: int) -> None:
         if not stream.closed:
             self._forget(stream)
-            if not self.broken:
+            if not self.failure:
                 try:
                     self._h2.reset_stream(stream.id, code)
                 except exceptions.StreamClosedError:
                     return
-                self.wake()
+                self.on_output()
 
     # ---- ends ----
     def _forget(self, stream: Stream) -> None:
-        """It and its listener know each other no more: what is in no cycle is freed at once, and the collector, which
-        would stop the loop for it, finds nothing to do."""
+        """Forgets a stream and parts it from its listener.
+
+        What is in no reference cycle is freed at once, and the garbage collector, which would stop the loop
+        for it, finds nothing to do.
+        """
         stream.closed, stream.listener = True, None
         stream._queue.clear()
         stream.queued = 0
         self.streams.pop(stream.id, None)
-        self._waiting.pop(stream.id, None)
+        self._sending.pop(stream.id, None)
         self._blocked.pop(stream.id, None)
 
-    def _drop(self, stream: Stream, how: str, code: int) -> None:
+    def _abort(self, stream: Stream, how: str, code: int) -> None:
         if not stream.closed:
             listener = stream.listener
             self._forget(stream)
@@ -395,7 +457,7 @@
             self._end(stream, event.headers)
 
     def _on_data(self, event: events.DataReceived) -> None:
-        self._heard += event.flow_controlled_length
+        self._ungranted += event.flow_controlled_length
         stream = self.streams.get(event.stream_id)
         if stream is not None:
             if padding := event.flow_controlled_length - len(event.data):
@@ -418,23 +480,23 @@
         stream = self.streams.get(event.stream_id)
         if stream is not None:
             code = int(event.error_code)
-            self._drop(stream, REFUSED if code == ErrorCodes.REFUSED_STREAM else RESET, code)
+            self._abort(stream, REFUSED if code == ErrorCodes.REFUSED_STREAM else RESET, code)
 
     def _on_goaway(self, event: events.ConnectionTerminated) -> None:
         self.closing, last = True, event.last_stream_id or 0
         if self.client:
             for stream in [s for s in self.streams.values() if s.id > last]:
-                self._drop(stream, UNPROCESSED, int(event.error_code))
+                self._abort(stream, UNPROCESSED, int(event.error_code))
         self.owner.on_goaway(int(event.error_code))
 
     def _on_window(self, event: events.WindowUpdated) -> None:
         if event.stream_id == 0:
             self._unblock()
         elif (stream := self._blocked.pop(event.stream_id, None)) is not None:
-            self._waiting[stream.id] = stream
+            self._sending[stream.id] = stream
 
     def _unblock(self) -> None:
-        self._waiting.update(self._blocked)
+        self._sending.update(self._blocked)
         self._blocked.clear()
 
     def _on_settings(self, event: events.RemoteSettingsChanged) -> None:
--- a/cartweir/wire/tap.py
+++ b/cartweir/wire/tap.py
@@ -1,7 +1,7 @@
-"""What passed on the sockets of one process, as a file: each read and each write with its time and its link.
+"""A capture file of all bytes on the sockets of one process: each read and write, with its time.
 
-A record is a head (kind, link, microseconds of the machine's monotonic clock, size) and so many bytes. It is
-written through at once, so that a process that is killed leaves all but the last.
+A record is a head (kind, connection, microseconds of the machine's monotonic clock, size) and so many bytes.
+It is written at once, so that a process that is killed loses the last record at most.
 """
 
 from __future__ import annotations
@@ -19,31 +19,55 @@
 
 
 class FileTap:
-    """One file of a process, or of several that number their links apart from `first` on. Raises OSError where it
-    cannot be written."""
+    """Appends records to a capture file.
+
+    Several processes may share a file if each numbers its connections from another value on.
+    """
 
     def __init__(self, path: Path, first: int = 0) -> None:
+        """Opens or creates the file.
+
+        Args:
+            path: The file.
+            first: Number below that of the first connection.
+
+        Raises:
+            OSError: The file cannot be written.
+        """
         path.parent.mkdir(parents=True, exist_ok=True)
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-        self._links = first
+        self._last_connection = first
 
-    def _write(self, kind: int, link: int, data: bytes) -> None:
-        os.write(self._file, HEAD.pack(kind, link, time.monotonic_ns() // 1000, len(data)) + data)
+    def _write(self, kind: int, connection: int, data: bytes) -> None:
+        os.write(self._file, HEAD.pack(kind, connection, time.monotonic_ns() // 1000, len(data)) + data)
 
-    def opened(self, ours: str, theirs: str) -> int:
-        self._links += 1
-        self._write(OPENED, self._links, json.dumps([ours, theirs]).encode())
-        return self._links
+    def opened(self, local_address: str, peer_address: str) -> int:
+        """Records a new connection and returns its number."""
+        self._last_connection += 1
+        addresses = json.dumps([local_address, peer_address]).encode()
+        self._write(OPENED, self._last_connection, addresses)
+        return self._last_connection
 
-    def passed(self, link: int, out: bool, data: bytes) -> None:
-        self._write(WRITTEN if out else READ, link, data)
+    def transferred(self, connection: int, outgoing: bool, data: bytes) -> None:
+        """Records bytes that were read, or are about to be written."""
+        self._write(WRITTEN if outgoing else READ, connection, data)
 
-    def closed(self, link: int, why: str) -> None:
-        self._write(CLOSED, link, why.encode())
+    def closed(self, connection: int, why: str) -> None:
+        """Records the end of a connection."""
+        self._write(CLOSED, connection, why.encode())
 
 
 @dataclass(slots=True)
 class Record:
+    """One record of a capture file.
+
+    Attributes:
+        kind: OPENED, READ, WRITTEN or CLOSED.
+        link: Number of the connection.
+        time: Microseconds of the machine's monotonic clock.
+        data: The bytes transferred, the addresses as JSON (OPENED), or the reason (CLOSED).
+    """
+
     kind: int
     link: int
     time: int
@@ -51,11 +75,11 @@
 
 
 def records(path: Path) -> Iterator[Record]:
-    """All whole records of a file; a last one that was cut off is left out."""
+    """Yields all complete records of a file; a last one that was cut off is left out."""
     with open(path, "rb") as file:
         while len(head := file.read(HEAD.size)) == HEAD.size:
-            kind, link, when, size = HEAD.unpack(head)
+            kind, connection, when, size = HEAD.unpack(head)
             data = file.read(size)
             if len(data) < size:
                 return
-            yield Record(kind, link, when, data)
+            yield Record(kind, connection, when, data)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,9 +1,10 @@
-"""Hard cases of single calls, between scripted clients and appliances; asserted on what passed on the sockets."""
+"""Difficult cases of single calls between scripted clients and appliances, on real sockets."""
 
 from __future__ import annotations
 
 import asyncio
 import functools
+import gc
 import socket
 
 import grpc
@@ -35,8 +36,10 @@
 
 
 def sockets(test, wait=WAIT):
-    """Runs a coroutine test on a loop of its own, which it must leave within so many seconds; what is still running then
-    is named, and what will not be cancelled is left behind."""
+    """Decorates a coroutine test to run on a loop of its own, with a time limit in seconds.
+
+    At a timeout the running tasks are printed. Tasks that cannot be cancelled are abandoned.
+    """
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -65,7 +68,7 @@
 
 
 def after_first(first, then=answer):
-    """The first request that any appliance of the rig gets is dealt with otherwise than the rest."""
+    """Returns a behaviour that handles the first request of the rig by `first`, the others by `then`."""
     seen = []
 
     def act(who, peer, stream, number):
@@ -82,9 +85,9 @@
     return answered
 
 
-# ---- through and back ----
+# ---- forwarding ----
 @sockets
-async def test_answer_passes_through_with_headers_and_trailers(tmp_path):
+async def test_response_is_forwarded_with_headers_and_trailers(tmp_path):
     async with rig(tmp_path, answer) as it:
         got = await ask(it, x_anything="kept", cartweir_key="k1")
         assert got.body == framed(b"fine") and got.ends == 1
@@ -99,47 +102,47 @@
 
 
 @sockets
-async def test_statuses_of_the_appliance_that_are_answers_pass_through(tmp_path):
+async def test_application_statuses_of_the_appliance_are_forwarded(tmp_path):
     async with rig(tmp_path, trailers_only("5")) as it:
         got = await ask(it)
         assert got.status == "5" and "cartweir-answer" not in got.tail and it.dispatched == 1
 
 
 @sockets
-async def test_a_client_that_nobody_here_wrote(tmp_path):
-    async with rig(tmp_path, answer) as it:
-        async with grpc.aio.insecure_channel(it.address) as channel:
-            call = channel.unary_unary(VIEW)(
-                b"please", timeout=2, metadata=[("cartweir-key", "k"), ("x-blob-bin", b"\0\xff")]
-            )
-            assert await call == b"fine" and it.appliances[0].requests[0]["x-blob-bin"] == "AP8"
-            assert ("x-from", "appliance") in list(await call.trailing_metadata())
-            stream = channel.unary_stream(TILES)(b"please", timeout=2)
-            assert [part async for part in stream] == [b"fine"]
-            with pytest.raises(grpc.aio.AioRpcError) as error:
-                await channel.unary_unary("/maps.Parcels/Unknown")(b"", timeout=2)
-            assert error.value.code() == grpc.StatusCode.UNIMPLEMENTED
+async def test_grpc_library_client_is_served(tmp_path):
+    async with rig(tmp_path, answer) as it, grpc.aio.insecure_channel(it.address) as channel:
+        call = channel.unary_unary(VIEW)(
+            b"please", timeout=2, metadata=[("cartweir-key", "k"), ("x-blob-bin", b"\0\xff")]
+        )
+        assert await call == b"fine" and it.appliances[0].requests[0]["x-blob-bin"] == "AP8"
+        assert ("x-from", "appliance") in list(await call.trailing_metadata())
+        stream = channel.unary_stream(TILES)(b"please", timeout=2)
+        assert [part async for part in stream] == [b"fine"]
+        with pytest.raises(grpc.aio.AioRpcError) as error:
+            await channel.unary_unary("/maps.Parcels/Unknown")(b"", timeout=2)
+        assert error.value.code() == grpc.StatusCode.UNIMPLEMENTED
 
 
 @sockets
-async def test_a_terminated_call_is_not_retried_by_the_clients_library(tmp_path):
+async def test_terminated_call_is_not_retried_by_the_grpc_library(tmp_path):
     policy = (
         '{"methodConfig": [{"name": [{}], "retryPolicy": {"maxAttempts": 4, "initialBackoff": "0.01s", '
-        '"maxBackoff": "0.01s", "backoffMultiplier": 1, "retryableStatusCodes": ["UNKNOWN", "UNAVAILABLE"]}}]}'
+        '"maxBackoff": "0.01s", "backoffMultiplier": 1, '
+        '"retryableStatusCodes": ["UNKNOWN", "UNAVAILABLE"]}}]}'
     )
-    async with rig(tmp_path, trailers_only("13")) as it:
-        async with grpc.aio.insecure_channel(
-            it.address, options=[("grpc.service_config", policy)]
-        ) as channel:
-            with pytest.raises(grpc.aio.AioRpcError) as error:
-                await channel.unary_unary(ISSUE)(b"please", timeout=2)
-            assert error.value.code() == grpc.StatusCode.UNKNOWN
-            assert it.dispatched == 1
+    async with (
+        rig(tmp_path, trailers_only("13")) as it,
+        grpc.aio.insecure_channel(it.address, options=[("grpc.service_config", policy)]) as channel,
+    ):
+        with pytest.raises(grpc.aio.AioRpcError) as error:
+            await channel.unary_unary(ISSUE)(b"please", timeout=2)
+        assert error.value.code() == grpc.StatusCode.UNKNOWN
+        assert it.dispatched == 1
 
 
-# ---- what the client does ----
+# ---- the client's behaviour ----
 @sockets
-async def test_client_that_leaves_ends_its_dispatch(tmp_path):
+async def test_client_cancellation_resets_its_dispatch(tmp_path):
     async with rig(tmp_path, nothing, nothing) as it:
         client = await it.client()
         got = client.call(VIEW)
@@ -163,7 +166,7 @@
         assert wrong.status == "3" and "one to eight digits" in wrong.tail["grpc-message"]
         sent = it.dispatched
         loop = asyncio.get_running_loop()
-        for timeout in (None, "1H"):  # the operation's limit of 2 s holds in both
+        for timeout in (None, "1H"):  # the operation's limit of 2 s applies to both
             began = loop.time()
             got = await ask(it, ISSUE, timeout=timeout)
             assert got.tail["cartweir-answer"] == "terminated" and loop.time() - began < 2.0
@@ -173,7 +176,7 @@
 
 
 @sockets
-async def test_requests_that_are_no_calls_are_refused_and_never_dispatched(tmp_path):
+async def test_malformed_calls_are_refused_and_never_dispatched(tmp_path):
     async with rig(tmp_path, answer, wire="message = 64KiB") as it:
         lying = await ask(it, body=b"\0\0\0\0\x20only this")
         assert lying.status == "13" and "one is due" in lying.tail["grpc-message"].replace("%20", " ")
@@ -189,7 +192,7 @@
 
 @sockets
 async def test_many_streams_on_one_connection(tmp_path):
-    """10,000 calls over one connection, as many at once as the agent grants."""
+    """10,000 calls over one connection, up to the agent's limit on streams at a time."""
     async with rig(tmp_path, *[answer] * 4, wire="streams = 500") as it:
         client, left, done = await it.client(), 10_000, []
         for _ in range(left // 400):
@@ -203,9 +206,9 @@
 
 
 @sockets
-async def test_streams_beyond_the_grant_are_refused_unseen(tmp_path):
+async def test_streams_over_the_limit_are_refused_unprocessed(tmp_path):
     async with rig(tmp_path, nothing, wire="streams = 3") as it:
-        client = await it.client()  # sends before the agent's settings have come
+        client = await it.client()  # sends before the agent's settings have arrived
         calls = [client.call(ISSUE) for _ in range(5)]
         await calls[4].done.wait()
         assert [got.reset for got in calls] == [None, None, None, 7, 7]
@@ -225,7 +228,7 @@
 
 
 @sockets
-async def test_slow_reader_harms_nobody_and_is_held_in_bounds(tmp_path):
+async def test_slow_reader_affects_nobody_and_uses_bounded_memory(tmp_path):
     size = 8 << 20
     async with rig(tmp_path, large(size), wire="hold = 256KiB\nwindow = 128KiB") as it:
         slow, brisk = await it.client(grant=False), await it.client(window=1 << 20)
@@ -235,15 +238,15 @@
             await fine.done.wait()
             assert fine.status == "0" and len(fine.body) == size + 5
         assert not stuck.done.is_set() and len(stuck.body) <= 65_535
-        (peer,) = it.appliances[0].peers
-        # what the appliance could send for the stuck one: held, one window under way, one at the client
+        assert len(it.appliances[0].peers) == 1
+        # What the appliance could send for the stuck one: held, one window in flight, one at the client.
         assert it.daemon.front.unsent < (256 + 2 * 128 + 64) * 1024 + 65_536
         slow.leave(stuck)
 
 
-# ---- what the appliance does ----
+# ---- the appliance's behaviour ----
 @sockets
-async def test_headers_and_then_nothing(tmp_path):
+async def test_response_with_headers_only_times_out(tmp_path):
     def begin(who, peer, stream, number):
         head(peer, stream)
 
@@ -257,11 +260,11 @@
 
 
 @sockets
-async def test_answering_twice_gives_the_client_one_answer(tmp_path):
+async def test_duplicate_response_reaches_the_client_once(tmp_path):
     def twice(who, peer, stream, number):
         answer(who, peer, stream, number)
         peer.write()
-        # a second answer on the ended stream, written by hand as h2 itself would not
+        # A second response on the ended stream, written by hand as h2 would refuse to.
         block = peer.h2.encoder.encode([(":status", "200"), ("grpc-status", "0")])
         peer.writer.write(len(block).to_bytes(3, "big") + b"\x01\x05" + stream.to_bytes(4, "big") + block)
 
@@ -273,7 +276,7 @@
 
 
 @sockets
-async def test_reset_after_the_body_is_an_error_and_not_an_answer(tmp_path):
+async def test_reset_after_the_body_is_an_error(tmp_path):
     def broken(who, peer, stream, number):
         head(peer, stream)
         peer.h2.send_data(stream, framed(b"half"))
@@ -290,13 +293,13 @@
 
 @sockets
 async def test_goaway_tells_which_streams_never_ran(tmp_path):
-    """A side-effecting call goes again if, and only if, the GOAWAY's mark lies below its stream."""
+    """A side-effecting call is repeated if, and only if, GOAWAY's last stream is below its own."""
 
     def leave(mark):
         def act(who, peer, stream, number):
             peer.write()
             peer.writer.write(b"\0\0\x08\x07\0\0\0\0\0" + (stream + mark).to_bytes(4, "big") + bytes(4))
-            if mark == 0:  # seen: it is still answered, on the connection that goes away
+            if mark == 0:  # processed: it is still answered, on the connection that ends
                 answer(who, peer, stream, number)
 
         return act
@@ -321,7 +324,7 @@
 
 
 @sockets
-async def test_full_never_ran_but_the_same_status_behind_a_body_may_have(tmp_path):
+async def test_resource_exhausted_never_ran_only_without_a_body(tmp_path):
     act = after_first(trailers_only("8"))
     async with rig(tmp_path, act, act) as it:
         assert (await ask(it, ISSUE)).status == "0" and it.dispatched == 2
@@ -335,7 +338,7 @@
 
 
 @sockets
-async def test_connection_lost_with_the_call_out(tmp_path):
+async def test_connection_lost_during_a_call(tmp_path):
     def hang_up(who, peer, stream, number):
         peer.writer.close()
 
@@ -361,7 +364,7 @@
 
 
 @sockets
-async def test_answer_of_20_mib_is_passed_on_within_bounds(tmp_path):
+async def test_response_of_20_mib_is_forwarded_in_bounded_memory(tmp_path):
     size = 20 << 20
     async with rig(tmp_path, large(size)) as it:
         client = await it.client(window=1 << 20)
@@ -380,14 +383,14 @@
 async def test_garbage_instead_of_http2(tmp_path):
     async with rig(tmp_path, garbage) as it:
         got = await ask(it, ISSUE, timeout="1S")
-        assert got.tail["cartweir-answer"] == "throttled"  # it is known that nothing ran
+        assert got.tail["cartweir-answer"] == "throttled"  # nothing can have run
         good = await it.add(answer)
         await it.log.next("list")
         assert (await ask(it, ISSUE)).status == "0" and len(good.requests) == 1
 
 
 @sockets
-async def test_answer_whose_length_prefix_lies(tmp_path):
+async def test_response_with_a_wrong_length_prefix_is_an_error(tmp_path):
     def lie(who, peer, stream, number):
         head(peer, stream)
         peer.h2.send_data(stream, b"\0\0\0\0\x40only this")
@@ -400,12 +403,12 @@
 
 
 @sockets
-async def test_connection_whose_other_end_is_silent_gets_nothing_new(tmp_path):
-    """Half-open: no reset comes. After a time-out and an unanswered ping the next call opens another connection."""
+async def test_half_open_connection_gets_no_new_calls(tmp_path):
+    """No reset arrives. After a timeout and an unanswered ping the next call opens another connection."""
 
     def mute(who, peer, stream, number):
         if len(who.peers) == 1:
-            peer.task.cancel()  # reads no more, answers no ping
+            peer.task.cancel()  # no longer reads, and answers no ping
         else:
             answer(who, peer, stream, number)
 
@@ -419,7 +422,7 @@
 
 
 @sockets
-async def test_a_begun_stream_that_breaks_is_terminated_in_its_trailers(tmp_path):
+async def test_forwarded_stream_that_breaks_ends_with_terminated_trailers(tmp_path):
     def part(who, peer, stream, number):
         head(peer, stream)
         peer.h2.send_data(stream, framed(b"one of two"))
@@ -431,11 +434,11 @@
         assert got.tail["cartweir-answer"] == "terminated" and it.dispatched == 1
 
 
-# ---- drains ----
+# ---- draining ----
 @sockets
-async def test_nothing_new_goes_to_one_that_drains_or_is_gone(tmp_path):
+async def test_draining_or_gone_appliance_gets_no_new_calls(tmp_path):
     async with rig(tmp_path, answer, answer) as it:
-        leaving, staying = it.appliances
+        leaving, _ = it.appliances
         for state in (pb.DRAINING, pb.GONE):
             it.set(leaving, state)
             await it.log.next("list")
@@ -446,8 +449,8 @@
 
 
 @sockets
-async def test_call_that_waits_for_its_connection_does_not_follow_into_a_drain(tmp_path):
-    """The connection to the only appliance opens late; the news that it drains comes first."""
+async def test_call_waiting_for_a_connection_is_not_sent_once_its_appliance_drains(tmp_path):
+    """The connection to the only appliance opens late, after the list has reported its drain."""
     async with rig(tmp_path) as it:
         settle = asyncio.Event()
 
@@ -458,7 +461,7 @@
         server = await asyncio.start_server(accept, "127.0.0.1", 0)
         slow = Appliance(answer)
         slow.entry = pb.Entry(
-            appliance="slow", address="127.0.0.1:%d" % server.sockets[0].getsockname()[1], build=1, run=1
+            appliance="slow", address=f"127.0.0.1:{server.sockets[0].getsockname()[1]}", build=1, run=1
         )
         it.registry.put(slow.entry)
         await it.log.next("list")
@@ -476,10 +479,8 @@
 
 # ---- memory ----
 @sockets
-async def test_calls_leave_nothing_to_the_collector(tmp_path):
-    """What is freed by counting costs no pause of the loop; cycles did, 180 ms at a time."""
-    import gc
-
+async def test_calls_leave_no_reference_cycles(tmp_path):
+    """Guards against reference cycles: their collection paused the loop for 180 ms at a time."""
     async with rig(tmp_path, answer, trailers_only("14")) as it:
         gc.collect()
         gc.disable()
@@ -490,7 +491,7 @@
             left.leave(left.call(VIEW))
             while it.daemon.engine_host.calls or it.daemon.engine_host.attempts:
                 await asyncio.sleep(0.002)
-            await asyncio.sleep(0.1)  # a heartbeat: answers are seen to have gone
+            await asyncio.sleep(0.1)  # a heartbeat, after which written responses are forgotten
             gc.set_debug(gc.DEBUG_SAVEALL)
             gc.collect()
             found = {
@@ -500,12 +501,15 @@
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        assert not found - {"ReadOnReadyStream"}  # of connections that nobody took, not of calls
+        assert not found - {"ReadOnReadyStream"}  # of connections that were not accepted, not of calls
 
 
 @sockets
-async def test_a_connection_that_broke_as_it_was_made_is_an_answer_like_any_other(monkeypatch):
-    """Seen between controllers whose peer was killed: the caller's task ended with an error of ours and was never run again."""
+async def test_connection_broken_while_opened_raises_a_call_error(monkeypatch):
+    """The peer is killed as the connection opens.
+
+    Guards against a task of the caller that ends with an internal error and never runs again.
+    """
 
     async def broken(host, port, timeout):
         stream = IOStream(socket.socket())
