--- a/cartweir/node/appliance_pools.py
+++ b/cartweir/node/appliance_pools.py
@@ -1,7 +1,7 @@
 """The appliances' side of the node: connection pools, and the dispatches and probes sent on them.
 
 A connection carries one request at a time. Until its last byte is with the kernel a request cannot have run,
-and the outcome of a lost one says so.
+and the outcome of a lost one reflects that.
 """
 
 from __future__ import annotations
--- a/cartweir/node/config.py
+++ b/cartweir/node/config.py
@@ -41,7 +41,7 @@
         peer_listen: Address for datagrams of other agents; None where there are none.
         peers: Addresses of all agents' datagram sockets, in the order of their numbers.
         peers_all: Address that reaches all agents at once; None where there is none.
-        release_service: Address of the service that tells the state of builds and takes votes.
+        release_service: Address of the service that publishes the state of builds and takes votes.
         stage: State of the newest build, as the release service writes it; empty where none is known.
         known_list: The list of appliances last held, as discovery writes it.
         decision_settings: The settings of the decisions, by their keys.
--- a/cartweir/node/daemon.py
+++ b/cartweir/node/daemon.py
@@ -213,7 +213,7 @@
 
 
 async def run(config: Config) -> None:
-    """Runs an agent until it is told to end.
+    """Runs an agent until a signal ends it.
 
     Raises:
         OSError: The address for clients or that for datagrams cannot be bound.
--- a/cartweir/node/discovery.py
+++ b/cartweir/node/discovery.py
@@ -1,10 +1,10 @@
 """The discovery client: keeps a watch on the list of appliances while the decisions want one.
 
-There is one connection at a time, except while a new address takes over from an old one. The decisions are
-told how each call ended, since two kinds of failure differ in what may be trusted: discovery that is
-unreachable has told nobody anything, while discovery that may be there and gave no answer may hold changes
-that count as told. A call that fails late looks the same whether discovery is down or has too many callers;
-a watch that breaks off shows that discovery is down.
+There is one connection at a time, except while a new address takes over from an old one. Each failure is
+reported to the decisions with its kind, since kinds differ in whether the list may still be relied on:
+unreachable discovery has announced nothing to anybody, while discovery that may be running and gave no answer
+may hold changes that count as announced. A call that fails late looks the same whether discovery is down or
+has too many callers; a watch that breaks off shows that discovery is down.
 """
 
 from __future__ import annotations
@@ -216,7 +216,7 @@
             while call.parser.response is None:
                 found += await call.read()
             if len(found) != 1:
-                raise CallFailedError(f"{len(found)} lists in an answer")
+                raise CallFailedError(f"{len(found)} lists in a response; expected one")
             self._apply_answer(found[0], overtaken=applied_before != self._applied_count)
         except _CALL_ERRORS as error:
             self.log_event("fetch_failed", level="warning", why=str(error)[:MAX_LOGGED_REASON])
@@ -262,7 +262,7 @@
             ValueError: The value is no list, or a delta of another incarnation of discovery.
         """
         if not isinstance(members, dict) or not isinstance(members.get("endpoints"), list):
-            raise ValueError(f"no list: {str(members)[:80]!r}")
+            raise ValueError(f"{str(members)[:80]!r}; expected an object with a list of endpoints")
         version = _version_of(members)
         is_snapshot = bool(members.get("snapshot"))
         if (
@@ -275,7 +275,7 @@
             if overtaken:
                 return  # the call began before the list that is held now arrived
             self.version = None  # a delta of another incarnation: the next watch asks for the whole list
-            raise ValueError(f"changes up to {version} where more was told before")
+            raise ValueError(f"changes up to {version}, which is below the version held")
         self._apply(ours.SNAPSHOT if is_snapshot else ours.DELTA, members["endpoints"])
         self.version, self._applied_count = version, self._applied_count + 1
         self.synchronized = True
--- a/cartweir/node/front.py
+++ b/cartweir/node/front.py
@@ -330,7 +330,7 @@
     def _evict(self) -> bool:
         """Closes an idle connection to make room; returns whether there was one.
 
-        First one that sent nothing, or was told why it ends; then one that was served long ago; then one that
+        First one that sent nothing or has its last response; then one that was served long ago; then one that
         sent a part of a request. Never one whose input the loop has not had the time to read, nor one that
         has not taken its whole response.
         """
--- a/cartweir/node/http1.py
+++ b/cartweir/node/http1.py
@@ -94,7 +94,7 @@
     """
 
     parser_type: type = HttpRequestParser
-    max_body_bytes: int | None = MAX_BODY_BYTES  # None: whoever takes the pieces limits what is kept of them
+    max_body_bytes: int | None = MAX_BODY_BYTES  # None: the caller limits what it keeps
 
     def __init__(self) -> None:
         self._parser = self.parser_type(self)
--- a/cartweir/node/jsonstream.py
+++ b/cartweir/node/jsonstream.py
@@ -60,7 +60,7 @@
         if self._line_pieces[-1].rstrip().endswith(b"}"):  # the value may be complete before its line is
             self._try_unterminated_line(b"".join(self._line_pieces), found)
         if self._lines_size + self._line_size > self.max_value_bytes:
-            raise ValueError(f"an object of over {self.max_value_bytes} bytes")
+            raise ValueError(f"a value of more than {self.max_value_bytes} bytes")
         return found
 
     @property
@@ -105,7 +105,7 @@
     def _add_line(self, line: bytes, found: list[Any]) -> None:
         if not line.strip():
             if self._lines:
-                raise ValueError(f"an object that breaks off: {self._lines[-1][-80:]!r}")
+                raise ValueError(f"a truncated value: {self._lines[-1][-80:]!r}")
             return
         self._lines.append(line)
         self._lines_size += len(line)
--- a/cartweir/node/protocol.py
+++ b/cartweir/node/protocol.py
@@ -107,12 +107,12 @@
         ValueError: The value is not the state of a build.
     """
     if not isinstance(members, Mapping):
-        raise ValueError("not an object")
+        raise ValueError(f"{str(members)[:60]!r}; expected an object")
     build, number = parse_integer(members, "build"), parse_integer(members, "stage")
     phase = members.get("phase")
     cap, age = parse_number(members, "cap"), parse_number(members, "age_ms", 0)
     if not isinstance(phase, str) or phase not in PHASES or number >= stages or cap > 1:
-        raise ValueError(f"no state of a build: {str(members)[:120]}")
+        raise ValueError(f"{str(members)[:120]}; expected the state of a build")
     return Stage(build, number, PHASES[phase], float(cap), round(age * 1000), vote_answer)
 
 
@@ -152,7 +152,7 @@
         ValueError: There is no list of entries.
     """
     if not isinstance(entries, (list, tuple)):
-        raise ValueError(f"no list of entries: {str(entries)[:80]!r}")
+        raise ValueError(f"{str(entries)[:80]!r}; expected a list of entries")
     parsed: list[tuple[ListEntry, str]] = []
     unreadable: list[str] = []
     unix_now = read_clock() * 1000  # milliseconds
--- a/cartweir/node/release_service.py
+++ b/cartweir/node/release_service.py
@@ -1,6 +1,6 @@
 """The client of the platform's release service: JSON-RPC 2.0, one object a line.
 
-The service tells the state of builds on a connection kept for that; each vote has a connection of its own.
+The service publishes the state of builds on one kept connection; each vote has a connection of its own.
 """
 
 from __future__ import annotations
@@ -54,9 +54,9 @@
     except StreamClosedError as error:
         raise ConnectionLostError(str(error.real_error or "closed by the other side")) from None
     except (ValueError, RecursionError, UnsatisfiableReadError) as error:
-        raise ConnectionLostError(f"a line that can't be read ({type(error).__name__})") from None
+        raise ConnectionLostError(f"an unreadable line ({type(error).__name__})") from None
     if not isinstance(members, dict) or members.get("jsonrpc") != "2.0":
-        raise ConnectionLostError("a line that is no JSON-RPC")
+        raise ConnectionLostError("a line without a JSON-RPC 2.0 object")
     return members
 
 
@@ -74,7 +74,7 @@
         """Connects nothing yet.
 
         Args:
-            engine_host: Receives what the service tells.
+            engine_host: Receives the state of builds, flags, counts and answers to votes.
             address: Address of the service.
             vote_timeout: Microseconds for the answer to a vote, including the connection.
             backoff: Delays between attempts to listen.
--- a/cartweir/wire/calls.py
+++ b/cartweir/wire/calls.py
@@ -43,7 +43,7 @@
 
     @property
     def retry_delay(self) -> int:
-        """Microseconds after which the server wants the call repeated; 0: it does not say."""
+        """Microseconds after which the server wants the call repeated; 0: not given."""
         value = grpc.find(self.metadata, grpc.PUSHBACK) or b""
         return int(value) * 1000 if value.isdigit() and len(value) <= MAX_RETRY_DELAY_DIGITS else 0
 
@@ -92,7 +92,7 @@
         if status == 0 and not self.body:
             self.queue.put_nowait(trailers)
         elif status == 0:
-            self.queue.put_nowait(CallError(Status.INTERNAL, "the answer ends within a message"))
+            self.queue.put_nowait(CallError(Status.INTERNAL, "the response ends within a message"))
         else:
             self.queue.put_nowait(
                 CallError(
@@ -202,7 +202,7 @@
                 if isinstance(item, CallError):
                     raise item
             if not isinstance(first, bytes) or isinstance(trailers, bytes):
-                raise CallError(Status.INTERNAL, "one message was due")
+                raise CallError(Status.INTERNAL, "the response has not exactly one message")
             return Response(first, listener.headers, trailers)
 
         try:
--- a/cartweir/wire/connection.py
+++ b/cartweir/wire/connection.py
@@ -51,8 +51,8 @@
     Attributes:
         session: The HTTP/2 session.
         bytes_processed: Bytes of input handled so far, without those being handled now.
-        local_address: Address of this end; "?" where it cannot be told.
-        peer_address: Address of the other end; "?" where it cannot be told.
+        local_address: Address of this end; "?" if unknown.
+        peer_address: Address of the other end; "?" if unknown.
         reading: The task that reads.
     """
 
--- a/cartweir/wire/session.py
+++ b/cartweir/wire/session.py
@@ -186,8 +186,8 @@
 class Session:
     """Either end of a connection.
 
-    It raises nothing for the peer's errors: `failure` then tells, and the output still holds the GOAWAY that
-    reports it.
+    It raises nothing for the peer's errors: `failure` then holds the reason, and the output still contains
+    the GOAWAY that reports it.
 
     Attributes:
         client: Whether this end opened the connection.
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -124,12 +124,12 @@
 async def test_fetched_list_with_content_length_is_followed():
     async with running_node(Appliance()) as node:
         await node.wait_for_event("list")
-        told = json.dumps({"index": 2, "snapshot": True, "endpoints": entries(node.appliances[0])}).encode()
-        assert len(told) > MAX_BODY_BYTES
+        data = json.dumps({"index": 2, "snapshot": True, "endpoints": entries(node.appliances[0])}).encode()
+        assert len(data) > MAX_BODY_BYTES
 
         async def serve(reader, writer):
             await read_request(reader)
-            writer.write(ok_response(told))
+            writer.write(ok_response(data))
 
         whole = await Server(serve).start()
         node.daemon.discovery.address = whole.address
@@ -224,7 +224,7 @@
             return super().raw_decode(text, *arguments)
 
     monkeypatch.setattr(jsonstream, "_DECODER", Counting())
-    told = {
+    value = {
         "index": 1,
         "snapshot": True,
         "endpoints": [
@@ -232,11 +232,11 @@
             for number in range(SERVERS)
         ],
     }
-    text = json.dumps(told, indent=2).encode() + b"\n"
+    text = json.dumps(value, indent=2).encode() + b"\n"
     stream, found = JsonStream(len(text)), []
     for at in range(0, len(text), 1_000):
         found += stream.feed(text[at : at + 1_000])
-    assert found == [told] and Counting.tried < 3 * len(text)
+    assert found == [value] and Counting.tried < 3 * len(text)
 
 
 def test_truncated_object_is_detected_by_the_next_object():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -129,15 +129,15 @@
         client.write(request_bytes("slow", Connection="close" if ending == "linger" else None))
         await wait_until(lambda: inside.served)
         assert inside.socket.unsent  # otherwise the test tries nothing
-        told = node.daemon.clock.now()
+        started_at = node.daemon.clock.now()
         if ending == "drain":
             node.daemon.terminate()
-        crowd = [RawClient(node.address) for _ in range(40)] if ending == "eviction" else []
+        others = [RawClient(node.address) for _ in range(40)] if ending == "eviction" else []
         await wait_until(
             lambda: (
-                node.daemon.clock.now() > told + 10 * front.LINGER_TIME
+                node.daemon.clock.now() > started_at + 10 * front.LINGER_TIME
                 and (
-                    not crowd
+                    not others
                     or node.daemon.front.evicted
                     or len(node.daemon.front.clients) == node.daemon.front.max_clients
                 )
@@ -289,12 +289,12 @@
         await wait_for_clients(node, 1)
         inside = only_client(node)
         await wait_until(lambda: inside.parser.in_message)
-        crowd = [RawClient(node.address) for _ in range(3 * node.daemon.front.max_clients)]
+        others = [RawClient(node.address) for _ in range(3 * node.daemon.front.max_clients)]
         await wait_until(lambda: node.daemon.front.evicted >= node.daemon.front.max_clients)
         assert inside in node.daemon.front.clients
         client.write(text[20:])
         assert (await client.answer())[0] == 200
-        for one in crowd:
+        for one in others:
             one.socket.close()
 
 
@@ -626,8 +626,10 @@
         return None if headers["x-request-id"] == "hit" else ok_response(b"fine")
 
     async with running_node(Appliance(script)) as node:
-        agent, told = node.daemon.engine_host.engine.agent, []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context["exception"]))
+        agent, errors = node.daemon.engine_host.engine.agent, []
+        asyncio.get_running_loop().set_exception_handler(
+            lambda _, context: errors.append(context["exception"])
+        )
         method, raised = getattr(type(agent), where), []
 
         def faulty(self, *arguments):
@@ -640,7 +642,7 @@
         client = RawClient(node.address)
         client.write(request_bytes("hit", "view" if where != "give_up" else "issue", X_Timeout="600m"))
         status, _, _ = await client.answer()
-        assert status in (500, 429) and [type(error) for error in told] == [ZeroDivisionError]
+        assert status in (500, 429) and [type(error) for error in errors] == [ZeroDivisionError]
         agent.retry_budget = 10.0
         client.write(request_bytes("next"))
         assert (await client.answer())[::2] == (200, b"fine") and not node.daemon.engine_host.calls
@@ -657,10 +659,10 @@
         await node.wait_for_event("list")
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
         engine, raised = node.daemon.engine_host.engine, []
-        settle = engine.resume_woken
+        resume_woken = engine.resume_woken
 
         def faulty():
-            settle()
+            resume_woken()
             if engine.agent.open_dispatches and not raised:
                 raised.append(True)
                 raise KeyError("on purpose")
@@ -688,16 +690,16 @@
 async def test_internal_error_in_one_timer_does_not_stop_the_others():
     async with running_node(Appliance()) as node:
         asyncio.get_running_loop().set_exception_handler(lambda _, context: None)
-        engine, rung = node.daemon.engine_host.engine, []
+        engine, calls = node.daemon.engine_host.engine, []
         now = node.daemon.clock.now()
         engine.call_at(now + 10_000, lambda: 1 // 0)
-        engine.call_at(now + 20_000, lambda: rung.append(1))
-        await wait_until(lambda: rung)
+        engine.call_at(now + 20_000, lambda: calls.append(1))
+        await wait_until(lambda: calls)
 
 
 # ---- discovery ----
-def indented(told, width=2):
-    return json.dumps(told, indent=width).encode() + b"\n"
+def indented(value, width=2):
+    return json.dumps(value, indent=width).encode() + b"\n"
 
 
 @pytest.mark.parametrize("cut", [None, 1, 7])
@@ -707,12 +709,12 @@
     async with running_node(Appliance(), Appliance()) as node:
         await node.wait_for_event("list")
 
-        def say(data):
+        def send(data):
             for at in range(0, len(data), cut or len(data)):
                 piece = data[at : at + (cut or len(data))]
                 node.discovery.watches[0].write(b"%x\r\n%b\r\n" % (len(piece), piece))
 
-        say(
+        send(
             indented(
                 {
                     "index": 2,
@@ -725,7 +727,7 @@
         await wait_until(
             lambda: node.daemon.engine_host.appliance_list.appliances["s0"].state == ours.DRAINING
         )
-        say(
+        send(
             b"\n"
             + indented({"index": 3, "snapshot": True, "endpoints": [entry("s1", node.appliances[1])]}, 1)
         )
@@ -750,13 +752,13 @@
 async def test_watch_is_reopened_after_an_internal_error(monkeypatch):
     async with running_node(Appliance()) as node:
         await node.wait_for_event("list")
-        listed, raised = node.daemon.engine_host.apply_list, []
+        apply_list, raised = node.daemon.engine_host.apply_list, []
 
         def faulty(how, *arguments, **more):
             if how == "changes" and not raised:
                 raised.append(True)
                 raise KeyError("on purpose")
-            return listed(how, *arguments, **more)
+            return apply_list(how, *arguments, **more)
 
         monkeypatch.setattr(node.daemon.engine_host, "apply_list", faulty)
         node.discovery.send_delta(entry("s0", node.appliances[0], status="draining"))
@@ -937,14 +939,17 @@
 @sockets
 async def test_decisions_get_an_outcome_for_a_vote_with_any_error(error):
     async with running_node(Appliance()) as node:
-        told, staged = [], node.daemon.engine_host.apply_stage
-        node.daemon.engine_host.apply_stage = lambda stage: (told.append(stage.vote_answer), staged(stage))
+        answers, apply_stage = [], node.daemon.engine_host.apply_stage
+        node.daemon.engine_host.apply_stage = lambda stage: (
+            answers.append(stage.vote_answer),
+            apply_stage(stage),
+        )
         node.release_service.vote = lambda call: (
             json.dumps({"jsonrpc": "2.0", "id": call["id"], "error": error}).encode() + b"\n"
         )
         node.daemon.vote(2, 0, "on")
         assert (await node.wait_for_event("vote"))["answer"] == "timeout"
-        await wait_until(lambda: "timeout" in told)
+        await wait_until(lambda: "timeout" in answers)
 
 
 @pytest.mark.parametrize("crossing", ["move", "drain"])
@@ -952,8 +957,11 @@
 async def test_vote_outcome_is_reported_once_across_a_reload_or_a_drain(crossing, monkeypatch):
     monkeypatch.setattr(front, "DRAIN_ACCEPT_TIME", 1_000)
     async with running_node(Appliance()) as node, running_node(Appliance()) as other:
-        told, staged, calls = [], node.daemon.engine_host.apply_stage, []
-        node.daemon.engine_host.apply_stage = lambda stage: (told.append(stage.vote_answer), staged(stage))
+        answers, apply_stage, calls = [], node.daemon.engine_host.apply_stage, []
+        node.daemon.engine_host.apply_stage = lambda stage: (
+            answers.append(stage.vote_answer),
+            apply_stage(stage),
+        )
         node.release_service.vote = lambda call: calls.append(call) or b""
         await wait_until(lambda: node.release_service.listeners)
         node.daemon.vote(2, 0, "on")
@@ -974,13 +982,13 @@
             ).encode()
             + b"\n"
         )
-        assert (await node.wait_for_event("vote"))["answer"] == "ok" and told.count("ok") == 1
+        assert (await node.wait_for_event("vote"))["answer"] == "ok" and answers.count("ok") == 1
 
 
 @sockets
 async def test_cancelled_connect_leaks_no_descriptor():
-    full, crowd = socket.create_server(("127.0.0.1", 0), backlog=0), [socket.socket() for _ in range(4)]
-    for one in crowd:
+    full, others = socket.create_server(("127.0.0.1", 0), backlog=0), [socket.socket() for _ in range(4)]
+    for one in others:
         one.setblocking(False)
         one.connect_ex(full.getsockname())
     before = len(os.listdir("/proc/self/fd"))
@@ -991,7 +999,7 @@
         task.cancel()
         await asyncio.wait([task])
     assert len(os.listdir("/proc/self/fd")) == before
-    for one in (full, *crowd):
+    for one in (full, *others):
         one.close()
 
 
@@ -1125,19 +1133,19 @@
         b"",
     ]
     for turn in range(6):
-        crowd = []
+        others = []
         for number in range(100):
             one = RawClient(listen)
             one.socket.setblocking(False)
             with contextlib.suppress(OSError):  # it may be closed already
                 one.socket.send(flood[number % len(flood)])
-            crowd.append(one)
+            others.append(one)
             if number % 10 == 0:
                 usual.write(request_bytes(f"u{turn}-{number}"))
                 status, _, _ = await usual.answer()
                 assert status in (200, 429)
                 most = max(most, len(os.listdir(f"/proc/{process.pid}/fd")))
-        for one in crowd:
+        for one in others:
             one.socket.close()
     assert most <= 256 and memory_of("VmRSS") < before + 32 * 1024, (most, before, memory_of("VmRSS"))
     usual.write(request_bytes("last"))
--- a/tests/test_list_trust.py
+++ b/tests/test_list_trust.py
@@ -61,11 +61,11 @@
 def recorded_reports(engine_host: EngineHost, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Returns a list that records each report about the list of appliances from now on."""
     reports: list[str] = []
-    listed = engine_host.apply_list
+    apply_list = engine_host.apply_list
 
     def record(how: str, *more: Any, **also: Any) -> list[ours.Appliance]:
         reports.append(how)
-        return listed(how, *more, **also)
+        return apply_list(how, *more, **also)
 
     monkeypatch.setattr(engine_host, "apply_list", record)
     return reports
@@ -130,7 +130,7 @@
 
 
 def test_new_process_trusts_its_kept_list_only_for_the_grace():
-    """Changes announced while the process was down may count as told from its first moment."""
+    """Changes announced while the process was down may count as announced from its first moment."""
     scene = scene_with_list()
     scene.agent.on_list(ours.UNANSWERED, [], waited=None)
     scene.pass_to(10 * S + GRACE - logic.LEASE_MARGIN - MS)
@@ -187,7 +187,7 @@
 
 
 def test_unreachable_discovery_does_not_end_the_lease():
-    """Discovery that is down tells nobody anything: agents use the lists they have, however long it lasts."""
+    """Discovery that is down announces nothing: agents use the lists they have, however long it lasts."""
     scene = scene_with_list()
     for how in (ours.UNREACHABLE, ours.FAILED):
         for _ in range(30):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -213,8 +213,8 @@
 @sockets
 async def test_side_effecting_request_is_retried_after_a_connect_timeout():
     """A machine whose listen queue is full sends nothing at all; the request cannot have run there."""
-    full, crowd = socket.create_server(("127.0.0.1", 0), backlog=0), [socket.socket() for _ in range(4)]
-    for one in crowd:
+    full, others = socket.create_server(("127.0.0.1", 0), backlog=0), [socket.socket() for _ in range(4)]
+    for one in others:
         one.setblocking(False)
         one.connect_ex(full.getsockname())
     async with running_node(Appliance()) as node:
@@ -231,7 +231,7 @@
         assert [headers["x-request-id"] for _, headers, _ in node.appliances[0].requests] == [
             f"i{n}" for n in range(number)
         ]
-    for one in (full, *crowd):
+    for one in (full, *others):
         one.close()
 
 
@@ -298,10 +298,10 @@
     async with running_node(Appliance(), sockets=64) as node:
         usual = await node.client()
         assert (await usual.exchange(request_bytes("a")))[0] == 200
-        crowd = [await node.client() for _ in range(60)]
+        others = [await node.client() for _ in range(60)]
         for number in range(3):
             assert (await usual.exchange(request_bytes(f"b{number}")))[0] == 200
-        assert await asyncio.gather(*(one.ended() for one in crowd)) == [b""] * 60
+        assert await asyncio.gather(*(one.ended() for one in others)) == [b""] * 60
         assert (await usual.exchange(request_bytes("c")))[0] == 200 and len(node.daemon.front.clients) == 1
 
 
@@ -310,13 +310,13 @@
     """More connections than the limit, each with a request that waits to be read."""
     held = HoldingAppliance()
     async with running_node(held, sockets=64) as node:
-        crowd = [await node.client() for _ in range(60)]
-        for number, client in enumerate(crowd):
+        others = [await node.client() for _ in range(60)]
+        for number, client in enumerate(others):
             client.writer.write(request_bytes(f"a{number}"))
         await held.wait_for_requests(1)
         held.release.set()
         statuses = []
-        for client in crowd:  # each leaves once it has its response, and another is accepted
+        for client in others:  # each leaves once it has its response, and another is accepted
             statuses.append((await client.read_response())[0])
             client.writer.close()
         assert set(statuses) <= {200, 429} and len(statuses) == 60 and node.daemon.front.evicted == 0
