--- a/cartweir/controller/__init__.py
+++ b/cartweir/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The host of the controllers' decisions: disk, peers, agents' streams, machines and steps' targets."""
+"""The host of the controllers' decisions: data directories, peers, agents, machines and targets of steps."""
--- a/cartweir/controller/message_codec.py
+++ b/cartweir/controller/message_codec.py
@@ -1,4 +1,7 @@
-"""Members' messages as MessagePack: nothing that is read can be executed, and what is not known is refused."""
+"""Encoding of the messages between members as MessagePack.
+
+Decoding never executes anything, and a message of an unknown form is rejected.
+"""
 
 from __future__ import annotations
 
@@ -28,42 +31,59 @@
     "Here": StartQuery,
     "Known": StartReply,
 }
-NAMES = {kind: name for name, kind in TYPES.items()}
+NAMES = {message_type: name for name, message_type in TYPES.items()}
 
 
 class MalformedMessageError(ValueError):
-    """What came is no word of a member."""
+    """The bytes received are not a message between members."""
+
 
+def unpack_entry(fields: list) -> Entry:
+    """Returns a log entry from its packed fields.
 
-def unpack_entry(parts: list) -> Entry:
-    """Raises ValueError or TypeError if these are not the parts of an entry."""
-    index, term, kind, data = parts
+    Raises:
+        ValueError, TypeError: the fields are not those of an entry.
+    """
+    index, term, kind, data = fields
     kind = EntryKind(kind)
     return Entry(index, term, kind, unpack_members(data) if kind == EntryKind.MEMBERSHIP else data)
 
 
-def unpack_snapshot(parts: list) -> Snapshot:
-    """Raises ValueError or TypeError if these are not the parts of a snapshot."""
-    index, term, members, state = parts
+def unpack_snapshot(fields: list) -> Snapshot:
+    """Returns a snapshot from its packed fields.
+
+    Raises:
+        ValueError, TypeError: the fields are not those of a snapshot.
+    """
+    index, term, members, state = fields
     return Snapshot(index, term, unpack_members(members), state)
 
 
 def unpack_members(rows: dict[str, list]) -> dict[str, MemberInfo]:
-    """Raises ValueError or TypeError if a row is not that of a member."""
+    """Returns the members by name.
+
+    Raises:
+        ValueError, TypeError: a row is not that of a member.
+    """
     if not isinstance(rows, dict):
-        raise TypeError("members are a mapping of names to rows")
+        raise TypeError("members: expected a mapping of names to rows")
     return {name: MemberInfo(*row) for name, row in rows.items()}
 
 
 def pack(message: Message) -> bytes:
+    """Returns the bytes of a message: an array of its name on the wire and its fields in order."""
     return msgpack.packb([NAMES[type(message)], *message])
 
 
 def unpack(data: bytes) -> Message:
-    """Raises MalformedMessageError."""
+    """Returns the message that the bytes hold.
+
+    Raises:
+        MalformedMessageError: the bytes are not a message of a known form.
+    """
     try:
-        name, *parts = msgpack.unpackb(data)
-        message = TYPES[name](*parts)
+        name, *fields = msgpack.unpackb(data)
+        message = TYPES[name](*fields)
         if isinstance(message, AppendEntries):
             message = message._replace(entries=tuple(unpack_entry(entry) for entry in message.entries))
         elif isinstance(message, InstallSnapshot):
@@ -71,7 +91,7 @@
         elif isinstance(message, StartReply):
             message = message._replace(last=LogPosition(*message.last))
         if not isinstance(message[0], int):
-            raise MalformedMessageError("a term, or a count of starts, is no number")
+            raise MalformedMessageError(f"{name}: expected an integer as the term or the start number")
         return message
     except MalformedMessageError:
         raise
--- a/cartweir/controller/peers.py
+++ b/cartweir/controller/peers.py
@@ -1,4 +1,4 @@
-"""The other members as this one reaches them: words go out in order and may be lost; commands wait for their answer."""
+"""Connections to other members: messages go out in order and may be lost, commands wait for an answer."""
 
 from __future__ import annotations
 
@@ -15,56 +15,67 @@
 from ..wire.calls import CallError, Channel
 from . import message_codec
 
-TELL, ACT = "/cartweir.v1.Members/Tell", "/cartweir.v1.Members/Act"
-WAITING = 256  # words for one member; older ones go first, as later ones tell more
-BROKEN = 3  # calls in a row without an answer: the connection may be open and dead
+MESSAGES_PATH, COMMAND_PATH = "/cartweir.v1.Members/Tell", "/cartweir.v1.Members/Act"
+QUEUE_SIZE = 256  # messages to one member; the oldest are dropped first, as later ones supersede them
+FAILURES_BEFORE_RECONNECT = 3  # calls in a row without an answer: the connection may be half-open
 
 
 class Peer:
+    """Another member as this one reaches it.
+
+    Attributes:
+        sign: returns the fields of each message that identify its sender.
+        timeout: of a call that carries messages, in microseconds.
+        silent_since: when the oldest call began after which no answer has come; None if the last call was
+            answered.
+    """
+
     def __init__(self, address: str, sign: Callable[[], dict[str, Any]], timeout: int) -> None:
         self.address, self.sign, self.timeout = address, sign, timeout
         self.channel = Channel(address, timeout)
-        self._words: deque[bytes] = deque(maxlen=WAITING)
-        self._busy = False
-        self._silent = 0
-        self.silent_since: int | None = None  # when the first call was begun that no answer has come behind
+        self._queue: deque[bytes] = deque(maxlen=QUEUE_SIZE)
+        self._is_sending = False
+        self._failures = 0
+        self.silent_since: int | None = None
 
-    def say(self, message: Message) -> None:
-        self._words.append(message_codec.pack(message))
-        if not self._busy:
-            self._busy = True
-            spawn(self._run())
+    def send(self, message: Message) -> None:
+        """Queues a message; messages that are queued during a call go out together in the next one."""
+        self._queue.append(message_codec.pack(message))
+        if not self._is_sending:
+            self._is_sending = True
+            spawn(self._send_queued())
 
-    async def _run(self) -> None:
+    async def _send_queued(self) -> None:
         try:
-            while self._words:
-                out = pb.Words(words=list(self._words), **self.sign())
-                self._words.clear()
-                await self._call(TELL, out.SerializeToString(), self.timeout)
+            while self._queue:
+                batch = pb.Words(words=list(self._queue), **self.sign())
+                self._queue.clear()
+                await self._call(MESSAGES_PATH, batch.SerializeToString(), self.timeout)
         finally:
-            self._busy = False
+            self._is_sending = False
 
     async def _call(self, path: str, message: bytes, timeout: int) -> bytes | None:
-        """None: no answer."""
+        """Returns the answer; None if there was none."""
         self.silent_since = self.silent_since or monotonic()
         try:
             answer = await self.channel.unary(path, message, timeout)
         except CallError:
-            self._silent += 1
-            if self._silent >= BROKEN:
-                self._silent = 0
+            self._failures += 1
+            if self._failures >= FAILURES_BEFORE_RECONNECT:
+                self._failures = 0
                 self.channel.close()
             return None
-        self._silent, self.silent_since = 0, None
+        self._failures, self.silent_since = 0, None
         return answer.message
 
-    async def act(self, command: dict[str, Any], timeout: int) -> tuple[bool, Any]:
-        """Whether it was answered, and the answer."""
+    async def forward(self, command: dict[str, Any], timeout: int) -> tuple[bool, Any]:
+        """Has the member propose a command; returns whether it answered, and its answer."""
         packed = pb.Packed(packed=msgpack.packb(command)).SerializeToString()
-        answer = await self._call(ACT, packed, timeout)
+        answer = await self._call(COMMAND_PATH, packed, timeout)
         if answer is None:
             return False, None
         return True, msgpack.unpackb(pb.Packed.FromString(answer).packed, strict_map_key=False)
 
     def close(self) -> None:
+        """Closes the connection; the next call opens another."""
         self.channel.close()
--- a/cartweir/controller/store.py
+++ b/cartweir/controller/store.py
@@ -1,15 +1,21 @@
-"""A member's directory: its log on disk, which gives back all that was told, or says plainly that it can't.
-
-`log` begins with eight bytes drawn anew whenever the file is; then come frames, each written by one append and one fsync: length, checksum (XXH64 of the payload, seeded with
-the frame's offset, so that no frame passes for another), payload (MessagePack). A compaction writes the file anew beside
-and puts it in place whole. `synced` says how far the log was known to be on disk; it is written behind each fsync.
-
-| found | what it means | what is done |
-| --- | --- | --- |
-| the last frame is cut short, behind `synced` | an append that never ended: nothing was told of it | cut off |
-| the log is shorter than `synced` says | what was told is gone | refused |
-| a frame with a wrong sum, the last one too | what was told may be spoilt (Alagappan et al., FAST 2018) | refused |
-| fsync fails | the pages count as clean from then on (Rebello et al., ATC 2020) | the process ends, and does not try again |
+"""The data directory of a member: its log on disk, and the checks that it is complete when it is opened.
+
+The file `log` begins with a file id of eight bytes, drawn anew whenever the file is created. Frames follow,
+each written by one append and one fsync: length, checksum and payload (MessagePack). The checksum is the
+XXH64 of the payload, seeded with the frame's offset, so that a frame copied to another place is not valid
+there. A compaction writes a new file and renames it over the old one. The file `synced` holds how many bytes
+of the log are known to be on disk; it is written after each fsync.
+
+When a directory is opened, the log is checked:
+
+- The last frame is incomplete, beyond `synced`: its append did not finish and was never acknowledged. It is
+  truncated.
+- The log is shorter than `synced` says: acknowledged records are missing. The directory is refused.
+- A frame has a wrong checksum, even the last one: acknowledged records may be corrupt (Alagappan et al., FAST
+  2018). The directory is refused.
+
+If an fsync fails, the process ends and does not retry: the kernel marks the pages clean, so that a second
+fsync proves nothing (Rebello et al., ATC 2020).
 """
 
 from __future__ import annotations
@@ -34,34 +40,40 @@
 )
 from .message_codec import unpack_entry, unpack_snapshot
 
-FRAME_HEADER = struct.Struct("<IQ")
-SYNCED = struct.Struct("<8sQ")  # the log file's own bytes, and how much of it is known to be on disk
-FILE_ID_SIZE = 8
-FORM = 1  # of what is written here
+FRAME_HEADER = struct.Struct("<IQ")  # length and checksum of the payload
+SYNCED_RECORD = struct.Struct("<8sQ")  # the log's file id, and how many bytes of the log are on disk
+FILE_ID_SIZE = 8  # bytes
+FORMAT_VERSION = 1  # of the directory's files
 
 
 class StoreError(Exception):
-    """The directory can't be used; one line with place, reason and what is right."""
+    """The directory cannot be used; one line with the place, the reason and what is needed."""
 
 
 class DiskFailedError(Exception):
-    """What was to be saved may not be on disk: the process has to end."""
+    """A write may not be on disk: the process has to end."""
 
 
-def pack(save: Record) -> list:
-    match save:
+def pack(record: Record) -> list:
+    """Returns a record as the array that is stored."""
+    match record:
         case VoteRecord(term, voted_for):
             return ["vote", term, voted_for]
         case EntryRecord(entry):
             return ["entry", *entry]
         case StartRecord():
-            return ["boot", *save]
+            return ["boot", *record]
         case SnapshotRecord(snapshot, keeps_entries):
             return ["shot", list(snapshot), keeps_entries]
 
 
-def unpack(parts: list) -> Record:
-    match parts:
+def unpack(fields: list) -> Record:
+    """Returns the record that a stored array holds.
+
+    Raises:
+        ValueError, TypeError: the array is not a record of a known form.
+    """
+    match fields:
         case ["vote", term, voted_for]:
             return VoteRecord(term, voted_for)
         case ["boot", name, directory_id, number]:
@@ -70,44 +82,59 @@
             return EntryRecord(unpack_entry(entry))
         case ["shot", snapshot, keeps_entries]:
             return SnapshotRecord(unpack_snapshot(snapshot), keeps_entries)
-    raise ValueError(f"unknown record {parts[:1]}")
+    raise ValueError(f"unknown record {fields[:1]}")
 
 
-def encode_frame(at: int, saves: Iterable[Record]) -> bytes:
-    payload = msgpack.packb([pack(save) for save in saves])
-    return FRAME_HEADER.pack(len(payload), xxhash.xxh64_intdigest(payload, seed=at)) + payload
+def encode_frame(offset: int, records: Iterable[Record]) -> bytes:
+    """Returns a frame that holds these records and is valid at this offset of the log only."""
+    payload = msgpack.packb([pack(record) for record in records])
+    return FRAME_HEADER.pack(len(payload), xxhash.xxh64_intdigest(payload, seed=offset)) + payload
 
 
 class Store:
-    """sync: os.fsync, or what a test puts in its place. One process at a time: the directory is locked."""
+    """The data directory of one member, locked against use by another process while it is open.
+
+    Attributes:
+        sync: os.fsync, or a replacement in a test.
+        state: what the records on disk add up to.
+        identity: the format version, the cluster, the member's name and the id of the directory.
+        size: of the log, in bytes.
+        frames: the number of frames in the log.
+    """
 
     def __init__(self, folder: Path, sync: Callable[[int], None] = os.fsync) -> None:
         self.folder, self.sync = folder, sync
         self.path = folder / "log"
-        self.kept, self.identity = PersistentState(), {}
+        self.state, self.identity = PersistentState(), {}
         self.size = self.frames = 0
-        self._own = bytes(FILE_ID_SIZE)
-        self._file = self._synced = self._lock = -1
+        self._file_id = bytes(FILE_ID_SIZE)
+        self._log_fd = self._synced_fd = self._lock_fd = -1
+
+    # Creation
 
-    # ---- making one ----
     @classmethod
-    def create(cls, folder: Path, identity: dict[str, Any], saves: Iterable[Record] = ()) -> None:
-        """A new directory. Raises StoreError where something is there already."""
+    def create(cls, folder: Path, identity: dict[str, Any], records: Iterable[Record] = ()) -> None:
+        """Creates a directory whose log holds these records.
+
+        Raises:
+            StoreError: the directory is not empty, or cannot be written.
+        """
         try:
             folder.mkdir(parents=True, exist_ok=True)
             if any(folder.iterdir()):
-                raise StoreError(f"{folder}: is not empty: a new directory is due; nothing was touched")
+                raise StoreError(f"{folder}: is not empty: expected a new directory; nothing was changed")
             store = cls(folder)
-            text = msgpack.packb({"form": FORM, **identity})
-            store._whole("identity", FRAME_HEADER.pack(len(text), xxhash.xxh64_intdigest(text)) + text)
-            store._whole("synced", SYNCED.pack(bytes(FILE_ID_SIZE), 0))
-            store._whole(
-                "log", os.urandom(FILE_ID_SIZE) + (encode_frame(FILE_ID_SIZE, saves) if saves else b"")
+            text = msgpack.packb({"form": FORMAT_VERSION, **identity})
+            store._write_file("identity", FRAME_HEADER.pack(len(text), xxhash.xxh64_intdigest(text)) + text)
+            store._write_file("synced", SYNCED_RECORD.pack(bytes(FILE_ID_SIZE), 0))
+            store._write_file(
+                "log", os.urandom(FILE_ID_SIZE) + (encode_frame(FILE_ID_SIZE, records) if records else b"")
             )
         except OSError as error:
-            raise StoreError(f"{folder}: {error.strerror}: a directory that can be written is due") from None
+            raise StoreError(f"{folder}: {error.strerror}: expected a writable directory") from None
 
-    def _whole(self, name: str, data: bytes) -> None:
+    def _write_file(self, name: str, data: bytes) -> None:
+        """Writes a file so that after a crash it is there whole, or as it was before."""
         part = self.folder / f"{name}.part"
         with open(part, "wb") as file:
             file.write(data)
@@ -123,41 +150,46 @@
         finally:
             os.close(folder)
 
-    # ---- opening ----
+    # Opening
+
     def open(self) -> PersistentState:
-        """All that was told. Raises StoreError, and has nothing open then."""
-        self.kept = PersistentState()
+        """Locks the directory, and returns the state that its records add up to.
+
+        Raises:
+            StoreError: the directory cannot be used; no file is left open.
+        """
+        self.state = PersistentState()
         try:
-            self.identity = self._read_identity()  # first: nothing is made where no directory was
-            self._lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self._file = os.open(self.path, os.O_RDWR)
-            self._synced = os.open(self.folder / "synced", os.O_RDWR)
+            self.identity = self._read_identity()  # first: creates nothing where there is no directory
+            self._lock_fd = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
+            fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._log_fd = os.open(self.path, os.O_RDWR)
+            self._synced_fd = os.open(self.folder / "synced", os.O_RDWR)
             data = self.path.read_bytes()
-            mark = os.pread(self._synced, SYNCED.size, 0)
+            synced_record = os.pread(self._synced_fd, SYNCED_RECORD.size, 0)
         except BlockingIOError:
             self.close()
             raise StoreError(f"{self.folder}: another process has it open: end that one first") from None
         except FileNotFoundError as error:
             self.close()
             raise StoreError(
-                f"{self.folder}: has no {Path(error.filename).name}: `cartweir controller found` makes the first "
-                "directories, `cartweir controller join` one for a member that lost its own"
+                f"{self.folder}: has no {Path(error.filename).name}: `cartweir controller found` creates the "
+                "first directories, `cartweir controller join` one for a member that lost its own"
             ) from None
         except OSError as error:
             self.close()
             raise StoreError(
-                f"{self.folder}: {error.strerror}: a directory that can be read and written is due"
+                f"{self.folder}: {error.strerror}: expected a directory that can be read and written"
             ) from None
         except StoreError:
             self.close()
             raise
         try:
-            self._recover(data, mark)
+            self._recover(data, synced_record)
         except StoreError:
             self.close()
             raise
-        return self.kept
+        return self.state
 
     def _read_identity(self) -> dict[str, Any]:
         data = (self.folder / "identity").read_bytes()
@@ -165,112 +197,132 @@
             len(data) - FRAME_HEADER.size,
             xxhash.xxh64_intdigest(data[FRAME_HEADER.size :]),
         ):
-            raise StoreError(f"{self.folder}/identity: cannot be read: join anew with an empty directory")
+            raise StoreError(f"{self.folder}/identity: is corrupt: join again with an empty directory")
         identity = msgpack.unpackb(data[FRAME_HEADER.size :])
-        if identity["form"] != FORM:
+        if identity["form"] != FORMAT_VERSION:
             raise StoreError(
-                f"{self.folder}/identity: written in form {identity['form']}, this program knows {FORM}"
+                f"{self.folder}/identity: written in form {identity['form']}, "
+                f"this program reads form {FORMAT_VERSION}"
             )
         return identity
 
-    def _recover(self, data: bytes, mark: bytes) -> None:
-        own, synced = SYNCED.unpack(mark) if len(mark) == SYNCED.size else (bytes(FILE_ID_SIZE), 0)
+    def _recover(self, data: bytes, synced_record: bytes) -> None:
+        file_id, synced = (
+            SYNCED_RECORD.unpack(synced_record)
+            if len(synced_record) == SYNCED_RECORD.size
+            else (bytes(FILE_ID_SIZE), 0)
+        )
         if len(data) < FILE_ID_SIZE:
-            raise StoreError(f"{self.path}: has {len(data)} bytes: join anew with an empty directory")
-        self._own, at = data[:FILE_ID_SIZE], FILE_ID_SIZE
-        while at < len(data):
-            size, due = (
-                FRAME_HEADER.unpack_from(data, at) if at + FRAME_HEADER.size <= len(data) else (len(data), 0)
+            raise StoreError(
+                f"{self.path}: has {len(data)} bytes, expected at least {FILE_ID_SIZE}: "
+                "join again with an empty directory"
+            )
+        self._file_id, offset = data[:FILE_ID_SIZE], FILE_ID_SIZE
+        while offset < len(data):
+            size, checksum = (
+                FRAME_HEADER.unpack_from(data, offset)
+                if offset + FRAME_HEADER.size <= len(data)
+                else (len(data), 0)
             )
-            end = at + FRAME_HEADER.size + size
+            end = offset + FRAME_HEADER.size + size
             if end > len(data):
-                break  # cut short: judged below by what was known to be on disk
-            payload = data[at + FRAME_HEADER.size : end]
-            if xxhash.xxh64_intdigest(payload, seed=at) != due:
+                break  # incomplete: whether it was acknowledged is decided below by `synced`
+            payload = data[offset + FRAME_HEADER.size : end]
+            if xxhash.xxh64_intdigest(payload, seed=offset) != checksum:
                 raise StoreError(
-                    f"{self.path}: the frame at byte {at} is spoilt, and what it held may have been told: "
-                    "join anew with an empty directory"
+                    f"{self.path}: the frame at byte {offset} is corrupt, and its records may have been "
+                    "acknowledged: join again with an empty directory"
                 )
             try:
-                for parts in msgpack.unpackb(payload, use_list=True):
-                    self.kept.add(unpack(parts))
+                for fields in msgpack.unpackb(payload, use_list=True):
+                    self.state.add(unpack(fields))
             except (ValueError, TypeError, msgpack.UnpackException) as error:
                 raise StoreError(
-                    f"{self.path}: the frame at byte {at} is of no known form ({error}): "
-                    "a newer program wrote it?"
+                    f"{self.path}: the frame at byte {offset} has an unknown form ({error}): "
+                    "was it written by a newer program?"
                 ) from None
-            at, self.frames = end, self.frames + 1
-        if at < synced and own == self._own:
+            offset, self.frames = end, self.frames + 1
+        if offset < synced and file_id == self._file_id:
             raise StoreError(
-                f"{self.path}: ends at byte {at}, {synced} were told: join anew with an empty directory"
+                f"{self.path}: ends at byte {offset}, but {synced} bytes were acknowledged: "
+                "join again with an empty directory"
             )
-        if at < len(data):
-            os.ftruncate(self._file, at)
+        if offset < len(data):
+            os.ftruncate(self._log_fd, offset)
             self._fsync()
-        os.lseek(self._file, at, os.SEEK_SET)
-        self.size = at
-        self._tell_synced()
+        os.lseek(self._log_fd, offset, os.SEEK_SET)
+        self.size = offset
+        self._record_synced_size()
 
-    # ---- writing ----
-    def save(self, saves: list[Record]) -> None:
-        """On disk when it returns. Raises DiskFailedError: the process is to end."""
+    # Writing
+
+    def save(self, records: list[Record]) -> None:
+        """Appends records to the log; they are on disk when it returns.
+
+        Raises:
+            DiskFailedError: they may not be on disk, and the process has to end.
+        """
         try:
-            if any(isinstance(save, SnapshotRecord) for save in saves):
-                self._compact(saves)
+            if any(isinstance(record, SnapshotRecord) for record in records):
+                self._compact(records)
                 return
-            data = memoryview(encode_frame(self.size, saves))
+            data = memoryview(encode_frame(self.size, records))
             while data:
-                data = data[os.write(self._file, data) :]
+                data = data[os.write(self._log_fd, data) :]
             self._fsync()
         except OSError as error:
             raise DiskFailedError(
-                f"{self.path}: {error.strerror}: what was to be told is not on disk; this process ends and is "
-                "to be started again once the disk takes writes"
+                f"{self.path}: {error.strerror}: a record is not on disk, so this process ends; start it "
+                "again once the disk accepts writes"
             ) from None
-        for save in saves:
-            self.kept.add(save)
-        self.size, self.frames = os.lseek(self._file, 0, os.SEEK_CUR), self.frames + 1
-        self._tell_synced()
-
-    def _compact(self, saves: list[Record]) -> None:
-        for save in saves:
-            self.kept.add(save)
-        kept = self.kept
-        self._own = os.urandom(FILE_ID_SIZE)
-        self._whole(
+        for record in records:
+            self.state.add(record)
+        self.size, self.frames = os.lseek(self._log_fd, 0, os.SEEK_CUR), self.frames + 1
+        self._record_synced_size()
+
+    def _compact(self, records: list[Record]) -> None:
+        for record in records:
+            self.state.add(record)
+        state = self.state
+        self._file_id = os.urandom(FILE_ID_SIZE)
+        self._write_file(
             "log",
-            self._own
+            self._file_id
             + encode_frame(
                 FILE_ID_SIZE,
                 [
-                    SnapshotRecord(kept.snapshot, False),
-                    VoteRecord(kept.term, kept.voted_for),
-                    *map(EntryRecord, kept.entries),
-                    *(StartRecord(name, *start) for name, start in kept.starts.items()),
+                    SnapshotRecord(state.snapshot, False),
+                    VoteRecord(state.term, state.voted_for),
+                    *map(EntryRecord, state.entries),
+                    *(StartRecord(name, *start) for name, start in state.starts.items()),
                 ],
             ),
         )
-        os.close(self._file)
-        self._file = os.open(self.path, os.O_RDWR)
-        self.size = os.lseek(self._file, 0, os.SEEK_END)
+        os.close(self._log_fd)
+        self._log_fd = os.open(self.path, os.O_RDWR)
+        self.size = os.lseek(self._log_fd, 0, os.SEEK_END)
         self.frames = 1
-        self._tell_synced()
+        self._record_synced_size()
 
     def _fsync(self) -> None:
         try:
-            self.sync(self._file)
+            self.sync(self._log_fd)
         except OSError as error:
             raise DiskFailedError(
-                f"{self.path}: fsync: {error.strerror}: the pages count as clean now, so that no second try "
-                "would tell: this process ends"
+                f"{self.path}: fsync: {error.strerror}: the kernel now takes the pages for clean, so a retry "
+                "would prove nothing: this process ends"
             ) from None
 
-    def _tell_synced(self) -> None:
-        """How far the log is on disk; itself not synced: too low a number forbids nothing that was not told."""
-        os.pwrite(self._synced, SYNCED.pack(self._own, self.size), 0)
+    def _record_synced_size(self) -> None:
+        """Writes how much of the log is on disk.
+
+        This file is not synced itself: a number that is too low after a crash makes no complete log refused.
+        """
+        os.pwrite(self._synced_fd, SYNCED_RECORD.pack(self._file_id, self.size), 0)
 
     def close(self) -> None:
-        for number in (self._file, self._synced, self._lock):
-            if number >= 0:
-                os.close(number)
-        self._file = self._synced = self._lock = -1
+        """Closes the files, and releases the lock."""
+        for descriptor in (self._log_fd, self._synced_fd, self._lock_fd):
+            if descriptor >= 0:
+                os.close(descriptor)
+        self._log_fd = self._synced_fd = self._lock_fd = -1
--- a/tests/test_kept_forms.py
+++ b/tests/test_kept_forms.py
@@ -1,4 +1,4 @@
-"""What controllers keep on disk stays in the form that earlier versions wrote and read."""
+"""Controllers store records and snapshots in the form that earlier versions wrote and read."""
 
 from __future__ import annotations
 
--- a/tests/test_member_codec.py
+++ b/tests/test_member_codec.py
@@ -1,4 +1,4 @@
-"""Messages between members keep their form on the wire, and what is not one is refused."""
+"""Messages between members keep their form on the wire, and malformed ones are rejected."""
 
 from __future__ import annotations
 
@@ -58,6 +58,6 @@
         ["Known", 2, 3, [2]],
     ],
 )
-def test_a_message_of_another_form_is_refused(form):
+def test_a_malformed_message_is_rejected(form):
     with pytest.raises(message_codec.MalformedMessageError):
         message_codec.unpack(msgpack.packb(form))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""A controller's directory that was cut, damaged, full, unsynced or copied: it recovers, or says why not."""
+"""A controller's directory that is truncated, damaged, copied or on a full disk recovers, or is refused."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cartweir.fleet.raft.records import EntryRecord, SnapshotRecord, VoteRecord
 
 IDENTITY = {"cluster": "c", "name": "a", "mark": "founded"}
-FIRST = [SnapshotRecord(Snapshot(0, 0, {"a": MemberInfo("founded", "a:1", True)}, b""), False)]
+FIRST_RECORDS = [SnapshotRecord(Snapshot(0, 0, {"a": MemberInfo("founded", "a:1", True)}, b""), False)]
 
 
 def entry(index, term=1):
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    Store.create(tmp_path / "dir", IDENTITY, FIRST)
+    Store.create(tmp_path / "dir", IDENTITY, FIRST_RECORDS)
     store = Store(tmp_path / "dir")
     store.open()
     store.save([VoteRecord(1, "a"), entry(1)])
@@ -31,14 +31,15 @@
     return tmp_path / "dir"
 
 
-def opened(folder):
+def open_and_close(folder):
     store = Store(folder)
-    kept = store.open()
+    state = store.open()
     store.close()
-    return kept
+    return state
 
 
-def last_frame(folder):
+def append_frame(folder):
+    """Appends a frame; returns where it starts, and the whole log."""
     data = (folder / "log").read_bytes()
     store = Store(folder)
     store.open()
@@ -47,51 +48,52 @@
     return len(data), (folder / "log").read_bytes()
 
 
-def test_all_that_was_saved_comes_back(folder):
-    kept = opened(folder)
-    assert (kept.term, kept.voted_for, [e.index for e in kept.entries]) == (1, "a", [1, 2, 3])
-    assert kept.snapshot.members == {"a": MemberInfo("founded", "a:1", True)}
+def test_all_saved_records_are_recovered(folder):
+    state = open_and_close(folder)
+    assert (state.term, state.voted_for, [e.index for e in state.entries]) == (1, "a", [1, 2, 3])
+    assert state.snapshot.members == {"a": MemberInfo("founded", "a:1", True)}
 
 
-def test_an_append_that_never_ended_is_cut_off_at_every_byte(folder):
+def test_an_incomplete_append_is_truncated_at_every_byte(folder):
     synced = (folder / "synced").read_bytes()
-    start, whole = last_frame(folder)
+    start, whole = append_frame(folder)
     for size in range(start, len(whole)):
         (folder / "log").write_bytes(whole[:size])
-        (folder / "synced").write_bytes(synced)  # the append had not been told
-        assert [e.index for e in opened(folder).entries] == [1, 2, 3], size
+        (folder / "synced").write_bytes(synced)  # the append was not acknowledged
+        assert [e.index for e in open_and_close(folder).entries] == [1, 2, 3], size
         assert (folder / "log").read_bytes() == whole[:start]
 
 
-def test_what_was_told_and_is_gone_is_refused_at_every_byte(folder):
-    start, whole = last_frame(folder)
+def test_a_log_that_lacks_acknowledged_bytes_is_refused_at_every_byte(folder):
+    start, whole = append_frame(folder)
     synced = (folder / "synced").read_bytes()
     for size in range(start, len(whole)):
         (folder / "log").write_bytes(whole[:size])
         (folder / "synced").write_bytes(synced)
-        with pytest.raises(StoreError, match="were told: join anew"):
-            opened(folder)
+        with pytest.raises(StoreError, match="bytes were acknowledged: join again"):
+            open_and_close(folder)
 
 
-def test_a_spoilt_byte_is_refused_wherever_it_is(folder):
+def test_a_corrupt_byte_is_refused_wherever_it_is(folder):
     whole = (folder / "log").read_bytes()
-    for at in range(8, len(whole)):
-        (folder / "log").write_bytes(whole[:at] + bytes((whole[at] ^ 1,)) + whole[at + 1 :])
+    for offset in range(8, len(whole)):
+        corrupt = whole[:offset] + bytes((whole[offset] ^ 1,)) + whole[offset + 1 :]
+        (folder / "log").write_bytes(corrupt)
         with pytest.raises(StoreError) as error:
-            opened(folder)
-        assert "\n" not in str(error.value) and "join anew" in str(error.value), at
+            open_and_close(folder)
+        assert "\n" not in str(error.value) and "join again" in str(error.value), offset
     (folder / "log").write_bytes(whole)
-    assert len(opened(folder).entries) == 3
+    assert len(open_and_close(folder).entries) == 3
 
 
-def test_a_tail_that_stands_there_twice_is_refused(folder):
-    start, whole = last_frame(folder)
+def test_a_frame_that_is_repeated_at_another_offset_is_refused(folder):
+    start, whole = append_frame(folder)
     (folder / "log").write_bytes(whole + whole[start:])
-    with pytest.raises(StoreError, match="spoilt"):
-        opened(folder)
+    with pytest.raises(StoreError, match="corrupt"):
+        open_and_close(folder)
 
 
-def test_a_failed_fsync_ends_it_and_is_not_tried_again(folder):
+def test_a_failed_fsync_is_reported_and_not_retried(folder):
     calls = []
 
     def sync(number):
@@ -107,7 +109,7 @@
     store.close()
 
 
-def test_a_full_disk_ends_it_and_nothing_that_was_told_is_lost(folder, monkeypatch):
+def test_a_full_disk_is_reported_and_no_acknowledged_record_is_lost(folder, monkeypatch):
     store = Store(folder)
     store.open()
     real = os.write
@@ -122,29 +124,29 @@
         store.save([entry(4)])
     monkeypatch.undo()
     store.close()
-    assert [e.index for e in opened(folder).entries] == [1, 2, 3]
+    assert [e.index for e in open_and_close(folder).entries] == [1, 2, 3]
 
 
-def test_a_compaction_that_was_cut_short_leaves_the_log_as_it_was(folder):
-    shot = SnapshotRecord(Snapshot(2, 1, {"a": MemberInfo("founded", "a:1", True)}, b"state"), True)
+def test_an_interrupted_compaction_leaves_the_log_as_it_was(folder):
+    snapshot = SnapshotRecord(Snapshot(2, 1, {"a": MemberInfo("founded", "a:1", True)}, b"state"), True)
     store = Store(folder)
     store.open()
     (folder / "log.part").write_bytes(b"half of it")
     store.close()
-    assert len(opened(folder).entries) == 3
+    assert len(open_and_close(folder).entries) == 3
     store.open()
-    store.save([shot, entry(4)])
+    store.save([snapshot, entry(4)])
     store.save([entry(5)])
     store.close()
-    kept = opened(folder)
+    state = open_and_close(folder)
     assert (
-        kept.snapshot.state == b"state"
-        and [e.index for e in kept.entries] == [3, 4, 5]
-        and kept.voted_for == "a"
+        state.snapshot.state == b"state"
+        and [e.index for e in state.entries] == [3, 4, 5]
+        and state.voted_for == "a"
     )
 
 
-def test_one_process_at_a_time(folder):
+def test_a_directory_is_open_in_one_process_at_a_time(folder):
     store = Store(folder)
     store.open()
     with pytest.raises(StoreError, match="another process"):
@@ -152,20 +154,20 @@
     store.close()
 
 
-def test_a_copy_that_lost_its_end_is_refused_too(folder, tmp_path):
+def test_a_copy_that_lacks_its_end_is_refused_too(folder, tmp_path):
     shutil.copytree(folder, tmp_path / "copy")
     os.truncate(tmp_path / "copy" / "log", os.path.getsize(folder / "log") - 3)
-    with pytest.raises(StoreError, match="were told"):
-        opened(tmp_path / "copy")
+    with pytest.raises(StoreError, match="bytes were acknowledged"):
+        open_and_close(tmp_path / "copy")
 
 
-def test_nothing_is_made_where_something_is(folder):
+def test_no_directory_is_created_over_another(folder):
     with pytest.raises(StoreError, match="is not empty"):
         Store.create(folder, IDENTITY)
-    assert len(opened(folder).entries) == 3
+    assert len(open_and_close(folder).entries) == 3
 
 
-def test_no_directory_and_no_known_form(tmp_path, folder):
+def test_a_missing_directory_and_an_unknown_format_are_refused(tmp_path, folder):
     with pytest.raises(StoreError, match="controller found"):
         Store(tmp_path).open()
     Store.create(tmp_path / "later", {**IDENTITY, "form": 9})
