--- a/benchmarks/controllers.py
+++ b/benchmarks/controllers.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from cartweir.faults.rig import Rig, RigConfig
+from cartweir.faults.rig import Rig, RigConfig, Vote
 from cartweir.proto import agent_pb2 as pb
 from cartweir.wire.calls import CallError, Channel
 
@@ -117,9 +117,9 @@
                 (rig.config.bake + 400) / 1000
             )  # its machines run, and have run for the time that is due
             owner, serial = await rig.wait_for_owner(), build * 100_000 + stage * 10_000
-            await rig.cast_votes(owner, range(5001, 5000 + needed), build, stage, pb.ON, serial)
+            await rig.cast_votes(owner, range(5001, 5000 + needed), Vote(build, stage, pb.ON), serial)
             began = time.monotonic()
-            await rig.cast_votes(owner, (5000 + needed,), build, stage, pb.ON, serial)
+            await rig.cast_votes(owner, (5000 + needed,), Vote(build, stage, pb.ON), serial)
             await until_all(rig, build, *then)
             took.append(time.monotonic() - began)
     return took
--- a/cartweir/cli/__init__.py
+++ b/cartweir/cli/__init__.py
@@ -229,7 +229,7 @@
                 verdict, rig = day.consistency_report, day.rig
             else:
                 verdict, rig = asyncio.run(
-                    run_rig(folder, RigConfig(controllers, agents), seed, seconds, unfenced, say)
+                    run_rig(folder, RigConfig(controllers, agents, unfenced=unfenced), seed, seconds, say)
                 )
         except OSError as error:
             fail(f"faults: {error}", 1)
--- a/cartweir/faults/__init__.py
+++ b/cartweir/faults/__init__.py
@@ -1,2 +1,4 @@
-"""Controllers, receivers and light agents as processes on loopback, with faults between them, drawn by seed; the verdict is
-taken from the receivers' records alone."""
+"""Fault injection: controllers, receivers and agents as processes on loopback, with faults drawn from a seed.
+
+What happened is checked by the receivers' records, and never by what a process says about itself.
+"""
--- a/cartweir/faults/controller_day.py
+++ b/cartweir/faults/controller_day.py
@@ -1,9 +1,13 @@
-"""The scripted bad day with controllers in the conveyor's place: processes, whose owner of the release is killed, stopped and
-cut off while builds come in. Machines are started and drained by what controllers want, under the receivers' rule."""
+"""The scripted bad day with controllers instead of a stand-in conveyor.
+
+The controllers are processes. The owner of the release is killed, stopped and cut off while builds are
+offered. Machines are started and drained as the controllers request, through receivers that fence them.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import signal
 from typing import Any
@@ -19,32 +23,41 @@
 from .consistency_check import ConsistencyReport, check_consistency
 from .rig import Rig, RigConfig
 
-LOOK = 0.1  # seconds between two looks at the stage, for the day's own report
+STAGE_POLL_INTERVAL = 0.1  # seconds between two questions for the stage, for the day's own report
+OFFER_RETRY_DELAY = 0.1  # seconds
+OWNER_PATIENCE = 3  # seconds to wait for an owner to hurt
+GRACES_TO_STOP = 3  # times the grace, from the drain of a machine to its stop
 
 
 class MachineHost:
-    """A fleet of stand-ins that runs as many machines of each build as are wanted."""
+    """Runs as many stand-in machines of each build as are wanted."""
 
     def __init__(self, fleet: Fleet, grace: int) -> None:
+        """`grace` is in microseconds."""
         self.fleet, self.grace = fleet, grace
         self.wanted: dict[int, int] = {}
         self._booting: dict[int, int] = {}
 
     def _running(self, build: int) -> list[Appliance]:
-        return [m for m in self.fleet.machines.values() if m.build == build and not m.leaving]
+        return [
+            machine
+            for machine in self.fleet.machines.values()
+            if machine.build == build and not machine.leaving
+        ]
 
     def want(self, wanted: dict[int, int]) -> None:
+        """Starts and drains machines so that this number of each build runs."""
         self.wanted, loop = wanted, asyncio.get_running_loop()
-        for build in {m.build for m in self.fleet.machines.values()} | set(wanted):
+        for build in {machine.build for machine in self.fleet.machines.values()} | set(wanted):
             running, booting = self._running(build), self._booting.get(build, 0)
             for _ in range(wanted.get(build, 0) - len(running) - booting):
                 self._booting[build] = self._booting.get(build, 0) + 1
                 loop.call_later(self.fleet.make.boot_time / 1e6, self._booted, build)
             for machine in running[wanted.get(build, 0) :]:
-                # drained first, and stopped once agents have had the news and the time to finish
+                # drained first, and stopped once agents know that and had time to finish
                 machine.leaving = True
                 self.fleet.drain(machine)
-                loop.call_later(3 * self.grace / 1e6, self.fleet.stop, machine)
+                loop.call_later(GRACES_TO_STOP * self.grace / 1e6, self.fleet.stop, machine)
 
     def _booted(self, build: int) -> None:
         self._booting[build] -= 1
@@ -52,45 +65,49 @@
             self.fleet.launch(build)
 
     def runs(self, build: int) -> bool:
+        """Whether all wanted machines of a build run."""
         return len(self._running(build)) >= self.wanted.get(build, 0)
 
 
-class Office:
-    """The controllers of a day, as the day speaks of a conveyor."""
+class ControllersAsConveyor:
+    """The controllers of a day, with the interface of the stand-in conveyor."""
 
     def __init__(self, day: Day, rig: Rig) -> None:
         self.day, self.rig = day, rig
 
     def offer(self, build: int) -> None:
+        """Offers a build until a controller takes it."""
+
         async def until_taken() -> None:
             while not await self.rig.offer_build(build):
-                await asyncio.sleep(0.1)
+                await asyncio.sleep(OFFER_RETRY_DELAY)
 
         spawn(until_taken())
 
     def flag(self, flag: pb.Flag) -> None:
-        """To each controller: the one at which the agent listens passes it on."""
+        """Sends a report to each controller: the one at which its agent listens passes it on."""
 
-        async def tell(address: str) -> None:
+        async def send(address: str) -> None:
             channel = Channel(address, 300_000)
             try:
-                await channel.unary("/cartweir.v1.Conveyor/Report", flag.SerializeToString(), 1_000_000)
-            except CallError:
-                pass
+                with contextlib.suppress(CallError):
+                    await channel.unary("/cartweir.v1.Conveyor/Report", flag.SerializeToString(), 1_000_000)
             finally:
                 channel.close()
 
         for name in self.rig.controller_names:
             if self.rig.is_running(name):
-                spawn(tell(self.rig.listen_addresses[name]))
+                spawn(send(self.rig.listen_addresses[name]))
 
     def gone(self, gone: bool) -> None:
+        """Stops all controllers, or lets them go on."""
         for name in self.rig.controller_names:
             self.rig.send_signal(name, signal.SIGSTOP if gone else signal.SIGCONT)
 
     async def hurt_owner(self, how: str, seconds: float) -> None:
+        """Kills, stops or cuts off the owner of the release for a time."""
         try:
-            owner = await self.rig.wait_for_owner(seconds=3)
+            owner = await self.rig.wait_for_owner(seconds=OWNER_PATIENCE)
         except TimeoutError:
             return
         self.day.log_event("fault", who=f"controller {owner}", what=how, value=seconds)
@@ -107,47 +124,58 @@
             await asyncio.sleep(seconds)
             self.rig.isolate(owner, "pass")
 
-    async def report(self) -> None:
+    async def report_stages(self) -> None:
+        """Logs each new stage of the release, as the controllers tell it."""
         last = None
         while True:
             for name in self.rig.controller_names:
                 if self.rig.is_running(name) and (status := await self.rig.ask(name, ask="status")):
-                    at = status["release"]
-                    face = at["build"], at["stage"], at["phase"]
-                    if last is None or (face != last and face[0] >= last[0]):
-                        last = face
+                    release = status["release"]
+                    current = release["build"], release["stage"], release["phase"]
+                    if last is None or (current != last and current[0] >= last[0]):
+                        last = current
                         self.day.log_event(
                             "stage",
-                            build=face[0],
-                            number=face[1],
-                            phase=face[2],
+                            build=current[0],
+                            number=current[1],
+                            phase=current[2],
                             owner=status["duties"]["release"]["owner"],
                         )
                     break
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(STAGE_POLL_INTERVAL)
 
     def shutdown(self) -> None:
-        pass  # ended with the day: ControllerDay._stop_all
+        """Does nothing: the controllers are ended with the day (ControllerDay._stop_all)."""
 
 
 class ControllerDay(Day):
-    """controllers: how many."""
+    """A day with controllers.
 
-    def __init__(self, *given: Any, controllers: int = 3, **more: Any) -> None:
-        super().__init__(*given, **more)
+    Attributes:
+        controllers: how many there are.
+        consistency_report: compares what the machines' host and the agents followed with the log that a
+            majority of the controllers holds.
+    """
+
+    def __init__(self, *args: Any, controllers: int = 3, **options: Any) -> None:
+        """Takes the arguments of Day, and the number of controllers."""
+        super().__init__(*args, **options)
         self.controllers = controllers
         self.consistency_report = ConsistencyReport()
 
     async def run(self) -> Report:
-        """The audit's report; `verdict`: on the controllers, from what machines' hosts took and agents followed beside a majority's log."""
+        """Plays the day; returns the audit's report, and sets `consistency_report`."""
         report = await super().run()
         self.consistency_report = check_consistency(
-            list(self.rig.documents.values()), self.folder / "receivers.jsonl", self.followed_stages(), []
+            list(self.rig.documents.values()),
+            self.folder / "receivers.jsonl",
+            self.followed_stages(),
+            [],
         )
         return report
 
     def followed_stages(self) -> list[dict[str, Any]]:
-        """What agents followed, in all their lives, in order: from their logs."""
+        """Returns what each agent followed in all its runs, in order, from the agents' logs."""
         rows = []
         for me in range(self.agents):
             for life in range(1, self._lives[me] + 1):
@@ -157,25 +185,30 @@
         return rows
 
     async def _make_conveyor(self, tap: FileTap) -> str:
-        scale = RigConfig(self.controllers, 0, 100, 500, bake=1_000, grace=2_000, steps=())
-        host = MachineHost(self.fleet, scale.grace * 1000)
-        self.receivers = Receivers(self.folder / "receivers.jsonl", fleet=host)
         release = SETTINGS[SETTINGS.index("[release]") : SETTINGS.index("[operation parcel-view]")]
-        self.rig = Rig(
-            self.folder / "controllers",
-            scale,
-            self.seed,
+        config = RigConfig(
+            controllers=self.controllers,
+            agents=0,
+            heartbeat=100,
+            election=500,
+            bake=1_000,
+            grace=2_000,
+            steps=(),
             release=release.strip(),
-            receivers=self.receivers.listen_on("127.0.0.1:0"),
         )
+        host = MachineHost(self.fleet, config.grace * 1000)
+        self.receivers = Receivers(self.folder / "receivers.jsonl", fleet=host)
+        config.receivers = self.receivers.listen_on("127.0.0.1:0")
+        self.rig = Rig(self.folder / "controllers", config, self.seed)
         self.rig.machine_count = self.count
         await self.rig.start()
         await self.rig.wait_for_owner()
-        self.conveyor = Office(self, self.rig)
-        self._report = asyncio.ensure_future(self.conveyor.report())
+        self.conveyor = ControllersAsConveyor(self, self.rig)
+        self._stage_reports = asyncio.ensure_future(self.conveyor.report_stages())
         return ", ".join(self.rig.agent_addresses)
 
     def script(self) -> list[Step]:
+        """Returns what happens, and when."""
         first, second, third = self.chance.sample(("killed", "stopped", "cut off"), 3)
         hurt = self.conveyor.hurt_owner
         return [
@@ -187,6 +220,6 @@
 
     async def _stop_all(self) -> None:
         await super()._stop_all()
-        self._report.cancel()
+        self._stage_reports.cancel()
         await self.rig.stop()
         self.receivers.shutdown()
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -1,5 +1,8 @@
-"""Coming back, between processes: agents killed at once, registries that lose their list, files that are lost, cut or in use,
-controllers that are crowded. What is judged is what the other side saw."""
+"""Restarts and losses between processes.
+
+Agents are killed at once, registries lose their list, files are lost, truncated or in use, and controllers
+are overloaded. What the other side saw is checked.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,7 @@
 import sys
 import time
 from dataclasses import replace
+from itertools import pairwise
 
 import pytest
 from peers import ISSUE, ROOT, VIEW, Appliance, Client, Process, answer, settings
@@ -28,7 +32,7 @@
 from cartweir.standin.registry import Registry
 from cartweir.wire.calls import CallError, Channel, Service, retry_later
 
-S = 1_000_000
+SECOND = 1_000_000
 
 
 async def call(address, path=VIEW, **more):
@@ -39,21 +43,21 @@
     return got
 
 
-async def served(address, count=1):
+async def call_successfully(address, count=1):
     for _ in range(count):
         assert (await call(address, ISSUE)).status == "0"
 
 
-async def until(holds, seconds=10.0, every=0.01):
-    due = time.monotonic() + seconds
-    while not holds():
-        assert time.monotonic() < due, "it did not come to that"
+async def wait_until(condition, seconds=10.0, every=0.01):
+    deadline = time.monotonic() + seconds
+    while not condition():
+        assert time.monotonic() < deadline, f"the condition was not met within {seconds:g} s"
         await asyncio.sleep(every)
 
 
-# ---- many at once ----
+# ---- many agents at once ----
 @pytest.mark.parametrize(
-    "scene",
+    "scenario",
     [
         RestartScenario(
             share=1.0,
@@ -85,19 +89,19 @@
     ],
     ids=["all, a build on trial", "all, files and list lost", "seven in ten, registry away"],
 )
-def test_killed_at_once_they_come_back_within_bounds(tmp_path, scene):
-    outcome = run_scenario(tmp_path, 3, replace(scene, rate=40.0), lambda line: None)
+def test_agents_killed_at_once_recover_within_bounds(tmp_path, scenario):
+    outcome = run_scenario(tmp_path, 3, replace(scenario, rate=40.0), lambda line: None)
     assert not outcome.breaches and outcome.fell == 0
-    assert outcome.told is not None and outcome.told < 8 * S
+    assert outcome.told is not None and outcome.told < 8 * SECOND
     assert outcome.share_after >= 0.9 * outcome.share_before > 0.5, outcome.text()
-    # one list for each life, and as many again where the registry was away or had lost its own
-    assert outcome.lists[0] <= 3 * scene.agents + 3, outcome.text()
-    assert outcome.listeners[0] <= 2 * (scene.agents + scene.light_agents)
-    assert outcome.connections[0] <= 2 * scene.agents
+    # one list for each start, and as many again if the registry was away or had lost its own
+    assert outcome.lists[0] <= 3 * scenario.agents + 3, outcome.text()
+    assert outcome.listeners[0] <= 2 * (scenario.agents + scenario.light_agents)
+    assert outcome.connections[0] <= 2 * scenario.agents
 
 
-def test_all_agents_and_the_owner_are_killed_in_one_moment_and_the_bad_build_still_goes_back(tmp_path):
-    scene = RestartScenario(
+def test_a_bad_build_is_withdrawn_though_all_agents_and_the_owner_are_killed_at_once(tmp_path):
+    scenario = RestartScenario(
         share=1.0,
         trial="bad",
         kill_owner=True,
@@ -107,15 +111,15 @@
         seconds_after=14.0,
         rate=40.0,
     )
-    outcome = run_scenario(tmp_path, 5, scene, lambda line: None)
+    outcome = run_scenario(tmp_path, 5, scenario, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
     assert outcome.release in ((2, "GOING_BACK"), (2, "WITHDRAWN")), outcome.text()
     assert outcome.share_after >= 0.9 * outcome.share_before
 
 
-def test_a_zone_is_back_cold_in_the_second_in_which_all_agents_are_and_none_is_pushed_over(tmp_path):
-    """All agents have forgotten what they had sent, a third of the appliances is cold, and clients ask again."""
-    scene = RestartScenario(
+def test_cold_appliances_of_a_zone_survive_a_restart_of_all_agents(tmp_path):
+    """All agents have lost their files, a third of the appliances has just restarted, and clients retry."""
+    scenario = RestartScenario(
         share=1.0,
         state="lost",
         restart_zone=True,
@@ -124,16 +128,16 @@
         seconds_after=11.0,
         rate=60.0,
     )
-    outcome = run_scenario(tmp_path, 11, scene, lambda line: None)
+    outcome = run_scenario(tmp_path, 11, scenario, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
     assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, (
         outcome.text()
     )
 
 
-def test_a_rolling_restart_that_is_faster_than_agents_warm_up(tmp_path):
-    """The next one is told to end 0.3 s behind the one before, which has not begun to serve by then."""
-    scene = RestartScenario(
+def test_service_survives_a_rolling_restart_that_is_faster_than_agents_warm_up(tmp_path):
+    """Each agent is told to end 0.3 s after the one before, which does not serve yet by then."""
+    scenario = RestartScenario(
         share=1.0,
         rolling_interval=0.3,
         agents=4,
@@ -142,30 +146,32 @@
         seconds_after=10.0,
         rate=40.0,
     )
-    outcome = run_scenario(tmp_path, 12, scene, lambda line: None)
+    outcome = run_scenario(tmp_path, 12, scenario, lambda line: None)
     assert not outcome.breaches and outcome.fell == 0, outcome.text()
     assert outcome.told is not None and outcome.share_after >= 0.9 * outcome.share_before > 0.5, (
         outcome.text()
     )
-    assert outcome.lists[0] <= 2 * scene.agents, outcome.text()
+    assert outcome.lists[0] <= 2 * scenario.agents, outcome.text()
 
 
 # ---- the registry ----
 @sockets
-async def test_a_registry_that_answers_each_agent_by_another_age(tmp_path):
-    """Three copies that lag by nothing, one change and two: an agent that has seen more takes no step back, one that has seen
-    nothing begins with what it is told, and all come to the same once the copies have caught up."""
-    registry, appliances, address = Registry(), [Appliance(answer) for _ in range(3)], None
+async def test_agents_agree_once_lagging_registry_copies_have_caught_up(tmp_path):
+    """Three copies lag by zero, one and two changes.
+
+    An agent follows no list older than one that it has seen; an agent without a list follows what it gets.
+    """
+    registry, appliances = Registry(), [Appliance(answer) for _ in range(3)]
     address = registry.listen_on("127.0.0.1:0")
-    where = [await appliance.listen() for appliance in appliances]
+    addresses = [await appliance.listen() for appliance in appliances]
 
     def entry(number, state=pb.READY):
-        return pb.Entry(appliance=f"a{number}", address=where[number], build=1, run=1, state=state)
+        return pb.Entry(appliance=f"a{number}", address=addresses[number], build=1, run=1, state=state)
 
     registry.put(entry(0))
-    ages = [registry.state()]  # two changes behind: a0 alone
+    states = [registry.state()]  # two changes behind: only a0
     registry.put(entry(1))
-    ages.append(registry.state())  # one behind: a0 and a1
+    states.append(registry.state())  # one change behind: a0 and a1
     files = []
     for me in range(3):
         (folder := tmp_path / f"{me}").mkdir()
@@ -174,29 +180,30 @@
                 folder, address, "127.0.0.1:9", agent=f"me = {me}\nagents = 3\nlist_file = {folder}/kept.list"
             )
         )
-    seen = await Process.start(
-        files[1]
-    )  # has seen one behind the newest, and is told by the oldest copy next
-    await until(lambda: seen.of("list") and (tmp_path / "1" / "kept.list").exists())
-    seen.process.kill()
-    await seen.process.wait()
+    # it sees the list one change behind the newest, and gets the oldest one after its restart
+    earlier = await Process.start(files[1])
+    await wait_until(lambda: earlier.of("list") and (tmp_path / "1" / "kept.list").exists())
+    earlier.process.kill()
+    await earlier.process.wait()
     registry.put(entry(2))
     registry.put(entry(0, pb.GONE))
     newest = registry.state()
-    registry.views = {1: ages[0], 2: ages[1]}
+    registry.views = {1: states[0], 2: states[1]}
     agents = [await Process.start(file) for file in files]
     assert (await agents[0].until("list"))["ready"] == 2  # a1, a2
-    assert (await agents[1].until("list_late"))["version"] == ages[0][1] and not agents[1].of("list")
-    assert (await agents[2].until("list"))["ready"] == 2  # a0, a1: it can't know better yet
+    assert (await agents[1].until("list_late"))["version"] == states[0][1] and not agents[1].of("list")
+    assert (await agents[2].until("list"))["ready"] == 2  # a0, a1: it has seen no newer list
     for agent in agents:
-        await served(agent.address, 6)
+        await call_successfully(agent.address, 6)
     before = len(appliances[0].requests)
-    assert await agents[0].stop() == 0  # what goes to a0 came from the two others
+    assert await agents[0].stop() == 0  # only the two others send to a0
     registry.views = {}
     registry.go_back(newest)  # all copies have caught up; watches break
     for agent in agents[1:]:
-        await until(lambda: agent.of("list") and agent.of("list")[-1]["version"] == newest[1])
-        await served(agent.address, 6)
+        await wait_until(
+            lambda agent=agent: agent.of("list") and agent.of("list")[-1]["version"] == newest[1]
+        )
+        await call_successfully(agent.address, 6)
     assert len(appliances[0].requests) == before and before > 0
     for agent in agents[1:]:
         assert await agent.stop() == 0
@@ -204,11 +211,14 @@
 
 
 @sockets
-async def test_an_agent_that_was_cut_off_while_all_changed_follows_what_is_now(tmp_path):
-    """Registry and controllers are cut off from it while every appliance is replaced, by more changes than the registry remembers, and
-    two builds are released; then its old connections break and it comes back. Its files are of before. All that it used is gone: it
-    can't tell that from a registry's loss, holds on to it for its time, and no call is lost by that."""
-    said = []
+async def test_an_agent_that_was_cut_off_while_everything_changed_follows_the_current_state(tmp_path):
+    """Registry and controllers are unreachable while every appliance is replaced and two builds are released.
+
+    The registry makes more changes than it remembers. Then the agent's old connections break and it
+    reconnects. All appliances that it uses are gone from the list, which it cannot tell from a loss of the
+    registry's list, so it retains them for the hold time, and no call fails by that.
+    """
+    events = []
     registry, old, new = (
         Registry(),
         [Appliance(answer), Appliance(answer)],
@@ -221,7 +231,7 @@
             ("registry", "127.0.0.1:0", registry.listen_on("127.0.0.1:0")),
             ("conveyor", "127.0.0.1:0", conveyor.listen_on("127.0.0.1:0")),
         ],
-        lambda event, **facts: said.append(event),
+        lambda event, **facts: events.append(event),
     )
     ways = await cut.start("127.0.0.1:0")
     for number, appliance in enumerate(old):
@@ -239,31 +249,31 @@
     cut.command(["all", "mute"])
     for number, appliance in enumerate(new):
         registry.put(pb.Entry(appliance=f"new{number}", address=await appliance.listen(), build=3, run=1))
-    for number in range(300):  # others come and go meanwhile
+    for number in range(300):  # other appliances come and go meanwhile
         registry.put(pb.Entry(appliance=f"passing{number}", address="127.0.0.1:9", build=2, run=1))
         registry.put(pb.Entry(appliance=f"passing{number}", state=pb.GONE))
     for number in range(2):
         registry.put(pb.Entry(appliance=f"old{number}", state=pb.GONE))
     conveyor.word = pb.Stage(build=3, number=1, phase=pb.RELEASED, cap=1.0, epoch=7, index=40)
-    await served(process.address, 5)
+    await call_successfully(process.address, 5)
     before = [len(appliance.requests) for appliance in old]
     assert sum(before) == 5 and not any(appliance.requests for appliance in new)
     for appliance in old:
         appliance.close()
     cut.command(["all", "reset"])
     cut.command(["all", "pass"])
-    await until(
+    await wait_until(
         lambda: (
             process.of("list")[-1]["version"] == registry.version and process.of("followed")[-1]["epoch"] == 7
         )
     )
-    assert registry.counts["whole"] == 2  # what it holds is older than what is remembered
-    await served(process.address, 8)
+    assert registry.counts["whole"] == 2  # its list is older than the changes that the registry remembers
+    await call_successfully(process.address, 8)
     assert [len(appliance.requests) for appliance in old] == before and sum(len(a.requests) for a in new) == 8
     assert (await process.until("list_held"))["kept"] == 2 and (await process.until("list_let_go"))[
         "appliances"
     ] == 2
-    # a word of before, out of the network at last, changes nothing, nor does it after a restart
+    # an earlier decision that arrives late changes nothing, and neither does it after a restart
     conveyor.word = pb.Stage(build=2, number=0, phase=pb.ON_TRIAL, cap=0.2, epoch=5, index=20)
     cut.command(["conveyor", "reset"])
     assert (await process.until("stage_late"))["epoch"] == 5
@@ -275,57 +285,57 @@
     end(registry, new)
 
 
-@pytest.mark.parametrize("part", [0.0, 0.34])
+@pytest.mark.parametrize("kept_share", [0.0, 0.34])
 @sockets
-async def test_a_registry_that_has_lost_its_list_takes_no_appliance_in_use(tmp_path, part):
+async def test_appliances_in_use_are_retained_when_the_registry_has_lost_its_list(tmp_path, kept_share):
     registry, appliances, process = await world(tmp_path, answer, answer, answer)
     file = tmp_path / "agent.ini"
     assert await process.stop() == 0
     file.write_text(file.read_text().replace("[registry]", "[registry]\nhold_time = 600ms"))
     process = await Process.start(file)
     await process.until("list")
-    registry.begin_anew(part)
+    registry.begin_anew(kept_share)
     held = await process.until("list_held")
-    assert held["kept"] == (2 if part else 3)
+    assert held["kept"] == (2 if kept_share else 3)
     assert (await call(process.address, ISSUE)).status == "0"
-    # one enters itself again: it stays; the others are let go after their time
+    # one registers again and stays; the others are dropped after the hold time
     registry.put(
         pb.Entry(
             appliance="a0",
-            address="127.0.0.1:%d" % appliances[0].server.sockets[0].getsockname()[1],
+            address=f"127.0.0.1:{appliances[0].server.sockets[0].getsockname()[1]}",
             build=1,
             run=1,
         )
     )
     assert (await process.until("list_let_go"))["appliances"] == 2
     before = [len(a.requests) for a in appliances]
-    await served(process.address, 5)
-    assert [len(a.requests) - n for a, n in zip(appliances, before)] == [5, 0, 0]
+    await call_successfully(process.address, 5)
+    assert [len(a.requests) - n for a, n in zip(appliances, before, strict=True)] == [5, 0, 0]
     assert await process.stop() == 0
     end(registry, appliances)
 
 
 @sockets
-async def test_a_registry_that_begins_anew_ten_seconds_behind_is_believed(tmp_path):
-    """Its life is the time of its start, by a clock that is behind the one before: it hears so, and takes a later one."""
+async def test_a_new_registry_whose_clock_is_ten_seconds_behind_is_followed(tmp_path):
+    """Its incarnation, the time of its start, is below the former one, so it takes a higher one."""
     registry, appliances, process = await world(tmp_path, answer)
-    registry.begin_anew(1.0, clock=-10 * S)
+    registry.begin_anew(1.0, clock=-10 * SECOND)
     late = Appliance(answer)
     registry.put(pb.Entry(appliance="late", address=await late.listen(), build=1, run=1))
-    await until(lambda: process.of("list")[-1]["ready"] == 2)
+    await wait_until(lambda: process.of("list")[-1]["ready"] == 2)
     assert not process.of("list_late")
     assert await process.stop() == 0
     end(registry, [*appliances, late])
 
 
 @sockets
-async def test_an_older_list_is_not_followed_also_after_a_restart(tmp_path):
+async def test_an_older_list_is_not_followed_even_after_a_restart(tmp_path):
     kept = tmp_path / "kept.list"
     registry, appliances, process = await world(tmp_path, answer, agent=f"list_file = {kept}")
     copy = registry.state()
     late = Appliance(answer)
     registry.put(pb.Entry(appliance="late", address=await late.listen(), build=1, run=1))
-    await until(
+    await wait_until(
         lambda: (
             process.of("list")[-1]["ready"] == 2
             and b"late" in bytes.fromhex("".join(json.loads(kept.read_text())["entries"]))
@@ -333,39 +343,39 @@
     )
     registry.go_back(copy)
     assert (await process.until("list_late"))["version"] == 1
-    await served(process.address, 8)
-    assert late.requests  # it is used on
+    await call_successfully(process.address, 8)
+    assert late.requests  # it is still used
     assert await process.stop() == 0
 
     again = await Process.start(tmp_path / "agent.ini")
     await again.until("list_late")
     before = len(late.requests)
-    await served(again.address, 8)
+    await call_successfully(again.address, 8)
     assert len(late.requests) > before and not again.of("list")
     assert await again.stop() == 0
     end(registry, [*appliances, late])
 
 
 @sockets
-async def test_a_registry_that_accepts_and_never_answers_holds_nobody_up(tmp_path):
+async def test_an_agent_serves_and_ends_though_the_registry_accepts_and_never_answers(tmp_path):
     kept = tmp_path / "kept.list"
     registry, appliances, process = await world(tmp_path, answer, agent=f"list_file = {kept}")
-    await until(kept.exists)
+    await wait_until(kept.exists)
     process.process.kill()
     await process.process.wait()
     registry.silent = True
     process = await Process.start(tmp_path / "agent.ini")
     assert (await call(process.address, ISSUE)).status == "0"
-    process.process.send_signal(signal.SIGTERM)  # while it comes back
+    process.process.send_signal(signal.SIGTERM)  # while it still waits for the registry
     assert await asyncio.wait_for(process.process.wait(), 5) == 0 and not process.of("list")
     end(registry, appliances)
 
 
 @sockets
-async def test_a_restarted_agent_is_told_what_has_changed_alone(tmp_path):
+async def test_a_restarted_agent_gets_only_the_changes_of_the_list(tmp_path):
     kept = tmp_path / "kept.list"
     registry, appliances, process = await world(tmp_path, answer, answer, agent=f"list_file = {kept}")
-    await until(lambda: kept.exists() and len(json.loads(kept.read_text())["entries"]) == 2)
+    await wait_until(lambda: kept.exists() and len(json.loads(kept.read_text())["entries"]) == 2)
     process.process.kill()
     await process.process.wait()
     whole = registry.counts["whole"]
@@ -380,7 +390,7 @@
 
 
 # ---- an agent's own files ----
-def one_way(folder, registry, conveyor, cores=1, agent=""):
+def one_way_settings(folder, registry, conveyor, cores=1, agent=""):
     file = settings(
         folder,
         registry,
@@ -391,22 +401,22 @@
     return file
 
 
-async def bound(folder, cores=1, ways=lambda name, address: address, agent=""):
-    """An agent with a build on trial, at which one key is bound; and the other sides."""
+async def agent_with_bound_key(folder, cores=1, route=lambda name, address: address, agent=""):
+    """Starts an agent with a build on trial, to which one key is bound, and the services around it."""
     registry, appliances = Registry(), [Appliance(answer), Appliance(answer), Appliance(answer)]
     conveyor = Offering(
         lambda count, request: pb.Verdict(answer=pb.Verdict.OK, stage=conveyor.word).SerializeToString()
     )
     conveyor.word = pb.Stage(build=2, number=0, phase=pb.ON_TRIAL, cap=0.2, epoch=3, index=9)
-    address, where = (
-        ways("registry", registry.listen_on("127.0.0.1:0")),
-        ways("conveyor", conveyor.listen_on("127.0.0.1:0")),
+    registry_address, conveyor_address = (
+        route("registry", registry.listen_on("127.0.0.1:0")),
+        route("conveyor", conveyor.listen_on("127.0.0.1:0")),
     )
     for number, appliance in enumerate(appliances):
         registry.put(
             pb.Entry(appliance=f"a{number}", address=await appliance.listen(), build=1 + (number == 2), run=1)
         )
-    process = await Process.start(one_way(folder, address, where, cores, agent))
+    process = await Process.start(one_way_settings(folder, registry_address, conveyor_address, cores, agent))
     await process.until("list")
     await process.until("stage")
     number = 0
@@ -423,9 +433,9 @@
 
 @pytest.mark.parametrize("cores", [1, 2])
 @sockets
-async def test_a_bound_key_stays_bound_though_the_agent_is_killed(tmp_path, cores):
-    registry, appliances, conveyor, process, key = await bound(tmp_path, cores)
-    if cores > 1:  # first the part that decides, whose next life goes on with the same file
+async def test_a_bound_key_stays_bound_after_the_agent_was_killed(tmp_path, cores):
+    registry, appliances, conveyor, process, key = await agent_with_bound_key(tmp_path, cores)
+    if cores > 1:  # first the deciding process, which goes on with the same file after its restart
         os.kill(process.of("started")[0]["parts"]["0"], signal.SIGKILL)
         await process.until("restored")
     process.process.kill()
@@ -437,11 +447,12 @@
     await process.until("stage")
     for _ in range(4):
         got = await call(process.address, ISSUE, cartweir_key=key, timeout="400m")
-        assert (
-            got.status == "0" or got.tail["cartweir-answer"] == "throttled"
-        )  # no room is no reason to go back
-    assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
-    assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"  # others are served
+        # being over the cap is no reason to send it to the earlier build
+        assert got.status == "0" or got.tail["cartweir-answer"] == "throttled"
+    assert key not in {
+        r.get("cartweir-key") for a, n in zip(appliances, earlier, strict=False) for r in a.requests[n:]
+    }
+    assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"  # other keys are served
     assert await process.stop() == 0
     conveyor.shutdown()
     end(registry, appliances)
@@ -452,8 +463,8 @@
     [("gone", 1), ("gone", 2), ("cut", 1), ("garbled", 1), ("another's", 1), ("an older copy", 1)],
 )
 @sockets
-async def test_without_sound_facts_no_key_goes_back(tmp_path, loss, cores):
-    registry, appliances, conveyor, process, key = await bound(tmp_path, cores)
+async def test_without_a_valid_key_journal_no_key_is_sent_to_an_earlier_build(tmp_path, loss, cores):
+    registry, appliances, conveyor, process, key = await agent_with_bound_key(tmp_path, cores)
     process.process.kill()
     await process.process.wait()
     facts, data = tmp_path / "facts", (tmp_path / "facts").read_bytes()
@@ -478,9 +489,11 @@
     await process.until("stage")
     for _ in range(3):
         await call(process.address, ISSUE, cartweir_key=key, timeout="300m")
-    assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
-    assert (await call(process.address, ISSUE)).status == "0"  # what has no key is served
-    # nor in the life after that one, whose file is sound and tells nothing of what was lost before it
+    assert key not in {
+        r.get("cartweir-key") for a, n in zip(appliances, earlier, strict=False) for r in a.requests[n:]
+    }
+    assert (await call(process.address, ISSUE)).status == "0"  # a request without a key is served
+    # nor after the next restart, whose journal is valid but does not hold the lost keys
     process.process.kill()
     await process.process.wait()
     process = await Process.start(tmp_path / "agent.ini")
@@ -488,12 +501,14 @@
     await process.until("stage")
     for _ in range(3):
         await call(process.address, ISSUE, cartweir_key=key, timeout="300m")
-    assert key not in {r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]}
-    # until another build is offered: then all is known again, also to the next life
+    assert key not in {
+        r.get("cartweir-key") for a, n in zip(appliances, earlier, strict=False) for r in a.requests[n:]
+    }
+    # until another build is offered: then all keys are known again, also after a restart
     conveyor.word = pb.Stage(build=3, number=0, phase=pb.ON_TRIAL, cap=0.2, epoch=4, index=20)
     for link in list(conveyor.connections):
-        link.close("another word")
-    await until(lambda: process.of("followed")[-1]["build"] == 3)
+        link.close("another stage")
+    await wait_until(lambda: process.of("followed")[-1]["build"] == 3)
     assert (await call(process.address, ISSUE, cartweir_key="new")).status == "0"
     process.process.kill()
     await process.process.wait()
@@ -505,23 +520,23 @@
 
 
 @sockets
-async def test_restarted_with_registry_and_controllers_away_it_serves_and_sends_no_key_back(tmp_path):
-    """Twice, with a build on trial, a key that it has answered, and the earlier build in the list that was kept."""
-    (registry_port, conveyor_port), said = free_addresses(2), []
+async def test_an_agent_restarted_without_registry_and_controllers_serves_and_sends_no_key_back(tmp_path):
+    """Restarted twice, with a build on trial, an answered key, and the earlier build in its stored list."""
+    (registry_port, conveyor_port), events = free_addresses(2), []
     cut = Cut(
         [("registry", registry_port, ""), ("conveyor", conveyor_port, "")],
-        lambda event, **facts: said.append(event),
+        lambda event, **facts: events.append(event),
     )
 
-    def through(name, address):
+    def through_proxy(name, address):
         cut.routes[name].target = address
         return cut.routes[name].listen_at
 
     await cut.start("127.0.0.1:0")
-    registry, appliances, conveyor, process, key = await bound(
-        tmp_path, ways=through, agent=f"list_file = {tmp_path}/list"
+    registry, appliances, conveyor, process, key = await agent_with_bound_key(
+        tmp_path, route=through_proxy, agent=f"list_file = {tmp_path}/list"
     )
-    await until((tmp_path / "list").exists)
+    await wait_until((tmp_path / "list").exists)
     cut.command(["all", "refuse"])
     cut.command(["all", "reset"])
     for _ in range(2):
@@ -530,23 +545,25 @@
         earlier = [len(a.requests) for a in appliances[:2]]
         process = await Process.start(tmp_path / "agent.ini")
         assert (await process.until("facts"))["forgot"] is None
-        await served(process.address, 5)
+        await call_successfully(process.address, 5)
         for _ in range(3):
             await call(process.address, ISSUE, cartweir_key=key, timeout="300m")
-        new = [r.get("cartweir-key") for a, n in zip(appliances, earlier) for r in a.requests[n:]]
+        new = [
+            r.get("cartweir-key") for a, n in zip(appliances, earlier, strict=False) for r in a.requests[n:]
+        ]
         assert len(new) >= 5 and key not in new and not process.of("list") and not process.of("followed")
     cut.command(["all", "accept"])
     await process.until("list")
     assert (await process.until("followed"))["build"] == 2
-    await served(process.address, 3)
+    await call_successfully(process.address, 3)
     assert await process.stop() == 0
     conveyor.shutdown()
     end(registry, appliances)
 
 
 @sockets
-async def test_two_agents_on_one_file(tmp_path):
-    registry, appliances, conveyor, process, _ = await bound(tmp_path)
+async def test_a_second_agent_on_the_same_journal_is_refused(tmp_path):
+    registry, appliances, conveyor, process, _ = await agent_with_bound_key(tmp_path)
     done = await asyncio.to_thread(
         subprocess.run,
         [sys.executable, "-m", "cartweir", "agent", "--settings", str(tmp_path / "agent.ini")],
@@ -554,6 +571,7 @@
         text=True,
         capture_output=True,
         timeout=20,
+        check=False,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
     assert done.returncode == 1 and "Traceback" not in done.stderr
@@ -564,8 +582,8 @@
 
 
 @sockets
-async def test_an_agent_whose_disk_is_full_serves_and_its_next_life_knows(tmp_path):
-    registry, appliances, conveyor, process, _ = await bound(tmp_path)
+async def test_an_agent_with_a_full_disk_serves_and_after_a_restart_knows_that_keys_are_missing(tmp_path):
+    registry, appliances, conveyor, process, _ = await agent_with_bound_key(tmp_path)
     process.process.kill()
     await process.process.wait()
     process = await Process.start(tmp_path / "agent.ini", "prlimit", "--fsize=220:unlimited")
@@ -603,20 +621,20 @@
 """
 
 
-def test_killed_at_any_moment_no_key_that_was_kept_is_missing(tmp_path):
-    """Each number is printed behind its key's being kept: a kill may lose none of those."""
-    told = 0
+def test_no_recorded_key_is_missing_after_a_kill_at_any_moment(tmp_path):
+    """Each number is printed after its key was recorded, so a kill may lose none of them."""
+    printed = 0
     (tmp_path / "facts").write_bytes(encode_journal(JournalHeader("me", boot(), FencingToken(1, 1)), []))
     for kill in range(8):
         process = subprocess.Popen(
             [sys.executable, "-c", BIND, str(tmp_path / "facts")], cwd=ROOT, stdout=subprocess.PIPE, text=True
         )
         for _ in range(23 + 31 * kill):
-            told = int(process.stdout.readline())
+            printed = int(process.stdout.readline())
         process.kill()
-        told = max(
+        printed = max(
             [
-                told,
+                printed,
                 *(
                     int(line)
                     for line in process.stdout.read().splitlines(keepends=True)
@@ -626,17 +644,17 @@
         )
         process.wait()
         found = read_journal((tmp_path / "facts").read_bytes(), "me", boot(), FencingToken(1, 1))
-        assert found.forgot is None and {f"k{n}" for n in range(told)} <= found.bound.keys()
+        assert found.forgot is None and {f"k{n}" for n in range(printed)} <= found.bound.keys()
 
 
 FULL = """
 import json, resource, signal, sys
 from cartweir.agent.key_journal_file import BOOT_ID_FILE, KeyJournalFile
-said, size = [], int(sys.argv[2])
+events, size = [], int(sys.argv[2])
 room = lambda most: resource.setrlimit(resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
 if sys.argv[3] == "from the start":
     room(size)
-keep = KeyJournalFile(sys.argv[1], "me", (1, 1), lambda e, **f: said.append(e), 1 << 20)
+keep = KeyJournalFile(sys.argv[1], "me", (1, 1), lambda e, **f: events.append(e), 1 << 20)
 room(size)
 for n in range(200):
     keep.record_binding("k%d" % n, 2)
@@ -644,20 +662,22 @@
 keep.record_binding("one more", 2)
 if sys.argv[3] == "mended":
     keep.record_decision((1, 2), 2)
-print(json.dumps(said))
+print(json.dumps(events))
 """
 
 
 @pytest.mark.parametrize(
-    "how, size, knows",
+    "how, size, is_complete",
     [
         ("from the start", 25, False),
         ("mended", 600, True),
         *(("meanwhile", size, False) for size in range(600, 611)),
     ],
 )
-def test_a_full_disk_ends_nothing_and_the_next_life_knows_what_is_missing(tmp_path, how, size, knows):
-    """Keys that could not be kept are missing from the file; that later ones could must not make it look whole."""
+def test_after_a_full_disk_the_journal_is_known_to_be_incomplete_until_it_is_rewritten(
+    tmp_path, how, size, is_complete
+):
+    """Keys that could not be written are missing; later successful writes must not make it look complete."""
     path = tmp_path / "facts"
     path.write_bytes(encode_journal(JournalHeader("me", boot(), FencingToken(1, 1)), [("before", 2)]))
     done = subprocess.run(
@@ -666,29 +686,32 @@
         capture_output=True,
         text=True,
         timeout=20,
+        check=False,
     )
-    assert json.loads(done.stdout) == ["facts", "facts_bad", *(["facts_kept_again"] if knows else [])], (
-        done.stderr
-    )
-    found = read_journal(path.read_bytes(), "me", boot(), FencingToken(1, 2 if knows else 1))
-    assert (found.forgot is None) == knows
-    if knows:
+    assert json.loads(done.stdout) == [
+        "facts",
+        "facts_bad",
+        *(["facts_kept_again"] if is_complete else []),
+    ], done.stderr
+    found = read_journal(path.read_bytes(), "me", boot(), FencingToken(1, 2 if is_complete else 1))
+    assert (found.forgot is None) == is_complete
+    if is_complete:
         assert {"before", "one more", *(f"k{n}" for n in range(200))} == found.bound.keys()
 
 
 # ---- controllers ----
-class Crowded(Service):
-    """A conveyor that tells everybody to come back later."""
+class OverloadedConveyor(Service):
+    """A conveyor that tells every agent to retry later."""
 
-    def __init__(self, advice):
+    def __init__(self, retry_after):
         super().__init__()
-        self.advice, self.asked, self.refuses = advice, [], True
+        self.retry_after, self.requested_at, self.refuses = retry_after, [], True
         self.handlers["/cartweir.v1.Conveyor/News"] = self._news
 
     async def _news(self, request):
-        self.asked.append(time.monotonic())
+        self.requested_at.append(time.monotonic())
         if self.refuses:
-            raise retry_later("too many", self.advice)
+            raise retry_later("too many", self.retry_after)
         request.send(
             pb.Word(
                 stage=pb.Stage(build=1, number=1, phase=pb.RELEASED, cap=1.0, epoch=1, index=1)
@@ -697,9 +720,9 @@
 
 
 @functools.partial(sockets, wait=60)
-async def test_controllers_that_refuse_all_for_half_a_minute_cost_no_call_and_are_not_crowded(tmp_path):
-    """They say nothing of when to come back: five agents serve meanwhile, ask ever less often, and are back soon after."""
-    conveyor = Crowded(0)
+async def test_agents_serve_and_back_off_while_controllers_refuse_them_for_half_a_minute(tmp_path):
+    """The controllers do not say when to retry: agents retry ever less often, and reconnect soon after."""
+    conveyor = OverloadedConveyor(0)
     address = conveyor.listen_on("127.0.0.1:0")
     registry, appliance = Registry(), Appliance(answer)
     listed = registry.listen_on("127.0.0.1:0")
@@ -715,16 +738,15 @@
         )
         agents.append(await Process.start(file))
         await agents[-1].until("list")
-    began, served = time.monotonic(), 0
+    began, succeeded = time.monotonic(), 0
     while time.monotonic() - began < 30:
         for got in await asyncio.gather(*(call(agent.address, ISSUE) for agent in agents)):
             assert got.status == "0"
-            served += 1
+            succeeded += 1
         await asyncio.sleep(0.2)
-    late = [at for at in conveyor.asked if at > began + 15]
-    assert (
-        served > 250 and 0 < len(late) <= 5 * 15 / 2.5 + 5
-    )  # each at most once in 2.5 s, the longest wait's half
+    late = [at for at in conveyor.requested_at if at > began + 15]
+    # each at most once in 2.5 s, half of the longest backoff
+    assert succeeded > 250 and 0 < len(late) <= 5 * 15 / 2.5 + 5
     assert max(sum(at <= other < at + 1 for other in late) for at in late) <= 5
     conveyor.refuses = False
     await asyncio.gather(*(agent.until("followed") for agent in agents))
@@ -736,32 +758,34 @@
 
 
 @sockets
-async def test_an_agent_comes_back_when_it_is_told_to(tmp_path):
-    conveyor = Crowded(700_000)
+async def test_an_agent_retries_when_it_is_told_to(tmp_path):
+    conveyor = OverloadedConveyor(700_000)
     registry, appliances, process = await world(tmp_path, answer, conveyor=conveyor.listen_on("127.0.0.1:0"))
-    await until(lambda: len(conveyor.asked) >= 4)
-    apart = [b - a for a, b in zip(conveyor.asked, conveyor.asked[1:])]
-    assert min(apart) >= 0.69  # the settings' own waits are 20 to 50 ms
+    await wait_until(lambda: len(conveyor.requested_at) >= 4)
+    intervals = [later - earlier for earlier, later in pairwise(conveyor.requested_at)]
+    assert min(intervals) >= 0.69  # the backoff of the settings is 20 to 50 ms
     assert (await call(process.address, ISSUE)).status == "0"
     assert await process.stop() == 0
     conveyor.shutdown()
     end(registry, appliances)
 
 
-def test_a_crowd_that_heeds_nothing_keeps_no_controller_from_its_duty(tmp_path):
-    """150 listeners that come again at once, whatever they are told, while a build is released: the owner stays, the release
-    goes on, and those who are let in are no more a second than the settings say."""
+def test_agents_that_ignore_the_time_to_retry_do_not_keep_a_controller_from_its_duty(tmp_path):
+    """150 agents retry at once, whatever they are told, while a build is released.
+
+    The owner stays, the release goes on, and no more agents are admitted a second than the settings say.
+    """
 
     async def run():
         rig = Rig(tmp_path / "rig", RigConfig(agents=6, admit=30))
         await rig.start()
         try:
-            owner, crowd, stop = await rig.wait_for_owner(), [], asyncio.Event()
+            owner, agents, stop = await rig.wait_for_owner(), [], asyncio.Event()
             epoch = (await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"]))["duties"][
                 "release"
             ]["epoch"]
 
-            async def nag(number, address):
+            async def insist(number, address):
                 channel = Channel(address, 300_000)
                 while not stop.is_set():
                     try:
@@ -775,23 +799,25 @@
                 channel.close()
 
             for number in range(150):
-                crowd.append(
-                    asyncio.ensure_future(nag(number, rig.listen_addresses[rig.controller_names[number % 3]]))
+                agents.append(
+                    asyncio.ensure_future(
+                        insist(number, rig.listen_addresses[rig.controller_names[number % 3]])
+                    )
                 )
             began = time.monotonic()
             assert await rig.offer_build(2)
             status = await rig.wait_for_status(
                 lambda s: s["release"]["build"] == 2 and s["release"]["phase"] == "RELEASED", 25
             )
-            took = time.monotonic() - began
+            duration = time.monotonic() - began
             assert status["duties"]["release"] | {"index": 0} == {"owner": owner, "epoch": epoch, "index": 0}
-            agents = [(await rig.ask(name, ask="status"))["agents"] for name in rig.controller_names]
-            assert sum(a["told_to_come_back"] for a in agents) > 0
-            assert max(a["let_in"] for a in agents) <= 30 * (took + 2) + 7 + 30
+            counts = [(await rig.ask(name, ask="status"))["agents"] for name in rig.controller_names]
+            assert sum(count["told_to_come_back"] for count in counts) > 0
+            assert max(count["let_in"] for count in counts) <= 30 * (duration + 2) + 7 + 30
             stop.set()
-            await asyncio.gather(*crowd)
+            await asyncio.gather(*agents)
         finally:
-            verdict = await rig.stop_and_check()
-        assert not verdict.breaches, verdict.text()
+            report = await rig.stop_and_check()
+        assert not report.breaches, report.text()
 
     asyncio.run(asyncio.wait_for(run(), 60))
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -1,5 +1,7 @@
-"""Controllers, receivers and agents as processes, with faults between them; each verdict is what receivers saw, held beside what
-a majority has on disk."""
+"""Controllers, receivers and agents as processes, with faults between them.
+
+What receivers and agents saw is compared with the log that a majority of the controllers has on disk.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +13,34 @@
 import signal
 import subprocess
 import sys
+from itertools import pairwise
 from pathlib import Path
 
 import pytest
 
 from cartweir.controller.store import FILE_ID_SIZE, FRAME_HEADER
 from cartweir.faults.light_agent import LightAgent
-from cartweir.faults.rig import Rig, RigConfig, free_addresses
+from cartweir.faults.rig import Rig, RigConfig, Vote, free_addresses
 from cartweir.proto import agent_pb2 as pb
 from cartweir.wire.calls import CallError, Channel, Service
 
 ROOT = Path(__file__).parents[1]
 
 
-def rigged(seconds=60, **scale):
-    """A test on a rig that has started and has an owner; the verdict at its end must have no breach."""
+def with_rig(seconds=60, **config):
+    """Runs a test on a rig whose release has an owner; the check at its end must find no breach."""
 
     def wrap(test):
         def run(tmp_path):
             async def play():
-                rig = Rig(tmp_path / "rig", RigConfig(**scale))
+                rig = Rig(tmp_path / "rig", RigConfig(**config))
                 await rig.start()
                 try:
                     await asyncio.wait_for(test(rig, await rig.wait_for_owner()), seconds)
                 finally:
-                    verdict = await rig.stop_and_check()
-                assert not verdict.breaches, verdict.text()
-                return verdict
+                    report = await rig.stop_and_check()
+                assert not report.breaches, report.text()
+                return report
 
             asyncio.run(play())
 
@@ -47,13 +50,14 @@
     return wrap
 
 
-def cartweir(*words):
+def cartweir(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "cartweir", *map(str, words)],
+        [sys.executable, "-m", "cartweir", *map(str, arguments)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=30,
+        check=False,
     )
 
 
@@ -69,8 +73,8 @@
     return lambda s: s["release"]["build"] == build and s["release"]["stage"] >= stage
 
 
-async def until_late(rig, seconds=15):
-    """Until a receiver has refused an effect."""
+async def wait_for_refused_effect(rig, seconds=15):
+    """Waits until a receiver has refused an effect as late."""
     for _ in range(int(seconds / 0.05)):
         if rig.record_path.exists() and any(
             '"taken": false' in line or '"how": "late"' in line
@@ -81,15 +85,15 @@
     raise TimeoutError("no effect was refused")
 
 
-@rigged()
-async def test_a_release_with_its_steps_in_order_and_no_fault(rig, owner):
+@with_rig()
+async def test_a_release_without_faults_runs_its_steps_in_order(rig, owner):
     assert await rig.offer_build(2)
     status = await rig.wait_for_status(released(2))
     assert status["steps"]["owners"]["done"] == ["add", "copy", "drop", "check"]
 
 
-@rigged()
-async def test_the_owner_is_stopped_amid_a_stage_and_wakes_up_late(rig, owner):
+@with_rig()
+async def test_a_release_goes_on_while_its_owner_is_stopped_and_the_owner_catches_up(rig, owner):
     assert await rig.offer_build(2)
     await rig.wait_for_status(stage_is(2, 0))
     epoch = (await rig.wait_for_status(lambda s: True))["duties"]["release"]["epoch"]
@@ -101,22 +105,22 @@
     await rig.wait_for_status(lambda s: s["name"] == owner and s["led"] and released(2)(s))
 
 
-@rigged()
-async def test_a_call_of_the_old_owner_is_held_back_and_delivered_late(rig, owner):
+@with_rig()
+async def test_a_delayed_call_of_a_former_owner_is_refused(rig, owner):
     rig.command_proxy(f"{owner}-machines", "hold", "out")
     assert await rig.offer_build(2)
     await rig.wait_for_status(stage_is(2, 0))
-    # it can't reach the machines though it hears its peers: it gives the duty up, and the release goes on
+    # the owner cannot reach the machines, though it hears its peers: it gives the duty up
     status = await rig.wait_for_status(lambda s: s["duties"]["release"]["owner"] not in (owner, None))
     assert status["role"] == "leader" or status["led"]
     await rig.wait_for_status(stage_is(2, 1))
     rig.command_proxy(f"{owner}-machines", "pass")
-    await until_late(rig)
+    await wait_for_refused_effect(rig)
     await rig.wait_for_status(released(2))
 
 
-@rigged()
-async def test_the_owner_of_steps_is_killed_with_a_step_on_its_way(rig, owner):
+@with_rig()
+async def test_a_step_whose_answer_is_lost_with_the_owner_runs_once(rig, owner):
     steps_owner = await rig.wait_for_owner("steps owners")
     rig.command_proxy(f"{steps_owner}-steps", "hold", "back")  # the step runs, its answer is lost
     assert await rig.offer_build(2)
@@ -129,18 +133,18 @@
     assert rig.record_path.read_text().count('"kind": "step"') == 4
 
 
-@rigged()
-async def test_the_target_dies_between_steps_and_nothing_runs_twice(rig, owner):
+@with_rig()
+async def test_no_step_runs_twice_when_the_target_is_killed_between_steps(rig, owner):
     assert await rig.offer_build(2)
     for count in range(1, 4):
-        await rig.wait_for_status(lambda s: len(s["steps"]["owners"]["done"]) >= count)
+        await rig.wait_for_status(lambda s, count=count: len(s["steps"]["owners"]["done"]) >= count)
         await rig.kill("receivers")
         await rig.start_process("receivers")
     await rig.wait_for_status(released(2))
 
 
-@rigged()
-async def test_all_controllers_and_receivers_are_killed_at_once(rig, owner):
+@with_rig()
+async def test_a_release_goes_on_after_all_controllers_and_receivers_are_killed_at_once(rig, owner):
     assert await rig.offer_build(2)
     before = await rig.wait_for_status(stage_is(2, 1))
     await asyncio.gather(*(rig.kill(name) for name in [*rig.controller_names, "receivers"]))
@@ -150,33 +154,33 @@
     await rig.wait_for_status(released(2))
 
 
-@rigged()
-async def test_a_partition_leaves_one_owner_and_its_other_side_tells_agents_nothing_new(rig, owner):
+@with_rig()
+async def test_a_partitioned_owner_makes_no_decisions_and_the_majority_goes_on(rig, owner):
     rig.isolate(owner)
-    assert await asyncio.wait_for(_elsewhere(rig, owner), 20)
+    assert await asyncio.wait_for(_wait_for_other_owner(rig, owner), 20)
     other = other_than(rig, owner)
     assert (await rig.ask(other, ask="offer", build=2, machines=10))["taken"]
     await rig.wait_for_status(lambda s: s["name"] == owner and not s["led"])
     status = await rig.ask(owner, ask="status")
     assert status["release"]["build"] == 1 and status["role"] != "leader"
-    await rig.wait_for_status(released(2))  # by the agents that have moved on to the other side
+    await rig.wait_for_status(released(2))  # by agents that have reconnected to the majority
     rig.isolate(owner, "pass")
     await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
 
-async def _elsewhere(rig, owner):
+async def _wait_for_other_owner(rig, owner):
     return await rig.wait_for_status(
         lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None)
     )
 
 
-@rigged()
-async def test_an_owner_that_hears_but_is_not_heard_stops(rig, owner):
+@with_rig()
+async def test_an_owner_that_hears_its_peers_but_is_not_heard_loses_its_duty(rig, owner):
     for name in rig.controller_names:
         if name != owner:
             rig.command_proxy(f"{owner}-{name}", "hold", "out")
-    await _elsewhere(rig, owner)
-    # what its agents say is lost with it, though it hears the stage: it sends them to others, all twelve
+    await _wait_for_other_owner(rig, owner)
+    # it hears the stage, but votes sent to it are lost: all twelve agents have to move to other controllers
     await rig.wait_for_status(lambda s: s["name"] == owner and not s["led"] and not s["agents"]["listening"])
     while (
         sum([(await rig.ask(name, ask="status"))["agents"]["listening"] for name in rig.controller_names])
@@ -187,13 +191,13 @@
     await rig.wait_for_status(released(2))
 
 
-@rigged()
-async def test_an_election_sends_no_agent_away(rig, owner):
-    """Guards the next leader against the whole fleet: only those that listened at the one that died come again."""
+@with_rig()
+async def test_an_election_disconnects_only_the_agents_of_the_killed_leader(rig, owner):
+    """Otherwise, each election would make the whole fleet reconnect at once."""
 
-    async def agents(what):
+    async def agents(count):
         return {
-            name: (await rig.ask(name, ask="status"))["agents"][what]
+            name: (await rig.ask(name, ask="status"))["agents"][count]
             for name in rig.controller_names
             if rig.is_running(name)
         }
@@ -210,8 +214,8 @@
     assert sum(after[name] - before[name] for name in after) == listened
 
 
-@rigged()
-async def test_a_lost_directory_is_joined_anew_and_votes_only_once_it_holds_the_log(rig, owner):
+@with_rig()
+async def test_a_member_that_lost_its_directory_joins_again_and_votes_once_it_holds_the_log(rig, owner):
     assert await rig.offer_build(2)
     await rig.wait_for_status(stage_is(2, 1))
     lost = other_than(rig, owner)
@@ -223,7 +227,7 @@
     mark = done.stdout.split("--mark ")[1].split()[0]
     await rig.start_process(lost)
     status = await rig.wait_for_status(lambda s: s["name"] == lost)
-    assert status["members"] == {} and status["release"]["build"] == 1  # what it hears does not count yet
+    assert status["members"] == {} and status["release"]["build"] == 1  # messages to it do not count yet
     done = await asyncio.to_thread(
         cartweir,
         "controller",
@@ -248,8 +252,8 @@
     await rig.wait_for_status(released(2))
 
 
-@rigged()
-async def test_a_copied_directory_at_another_address_leads_nobody(rig, owner):
+@with_rig()
+async def test_a_copied_directory_at_another_address_takes_no_part(rig, owner):
     copied = other_than(rig, owner)
     shutil.copytree(rig.folder / f"dir-{copied}", rig.folder / "dir-copy")
     (address,) = free_addresses(1)
@@ -262,7 +266,7 @@
     await rig.start_process("copy")
     while (status := await rig.ask("copy", ask="status")) is None:
         await asyncio.sleep(0.05)
-    rig.send_signal(copied, signal.SIGSTOP)  # the copy alone speaks under that name now
+    rig.send_signal(copied, signal.SIGSTOP)  # now only the copy sends messages under that name
     assert await rig.offer_build(2)
     await rig.wait_for_status(released(2))
     rig.send_signal(copied, signal.SIGCONT)
@@ -271,35 +275,34 @@
     await rig.wait_for_status(lambda s: s["name"] == copied and released(2)(s))
 
 
-@pytest.mark.parametrize("who", ["leader", "another"])
-def test_a_directory_put_back_from_an_older_copy_is_not_used(tmp_path, who):
-    rigged()(functools.partial(_put_back, who))(tmp_path)
+@pytest.mark.parametrize("member", ["leader", "another"])
+def test_a_directory_restored_from_an_older_copy_is_not_used(tmp_path, member):
+    with_rig()(functools.partial(_restore_older_copy, member))(tmp_path)
 
 
-async def _put_back(who, rig, owner):
+async def _restore_older_copy(member, rig, owner):
     leader = (await rig.wait_for_status(lambda s: s["role"] == "leader"))["name"]
-    back = leader if who == "leader" else other_than(rig, leader)
-    rig.send_signal(back, signal.SIGSTOP)
-    shutil.copytree(rig.folder / f"dir-{back}", rig.folder / "older")
-    rig.send_signal(back, signal.SIGCONT)
+    restored = leader if member == "leader" else other_than(rig, leader)
+    rig.send_signal(restored, signal.SIGSTOP)
+    shutil.copytree(rig.folder / f"dir-{restored}", rig.folder / "older")
+    rig.send_signal(restored, signal.SIGCONT)
     assert await rig.offer_build(2)
-    await rig.wait_for_status(lambda s: s["name"] == back and stage_is(2, 1)(s))
-    await rig.kill(back)
-    shutil.rmtree(rig.folder / f"dir-{back}")
-    shutil.copytree(rig.folder / "older", rig.folder / f"dir-{back}")
-    await rig.start_process(back)
-    assert await rig.processes[back].wait() == 1
-    assert "is older than the one this member used last" in (rig.folder / f"{back}.log").read_text()
+    await rig.wait_for_status(lambda s: s["name"] == restored and stage_is(2, 1)(s))
+    await rig.kill(restored)
+    shutil.rmtree(rig.folder / f"dir-{restored}")
+    shutil.copytree(rig.folder / "older", rig.folder / f"dir-{restored}")
+    await rig.start_process(restored)
+    assert await rig.processes[restored].wait() == 1
+    assert "is older than the one this member used last" in (rig.folder / f"{restored}.log").read_text()
     await rig.wait_for_status(released(2))
 
 
-@rigged()
-async def test_a_disk_that_takes_no_more_ends_the_owner_and_loses_nothing(rig, owner):
-    size = (rig.folder / f"{owner}.log").stat().st_size + 3000  # which its own words must not reach before
+@with_rig()
+async def test_a_full_disk_ends_the_owner_and_loses_no_decision(rig, owner):
+    size = (rig.folder / f"{owner}.log").stat().st_size + 3000  # more than its own log file grows to
     resource.prlimit(rig.processes[owner].pid, resource.RLIMIT_FSIZE, (size, size))
-    rig.command_proxy(
-        f"{owner}-machines", "hold"
-    )  # the stage stays where it is, and what agents vote on fills the log
+    # without answers of the machines the stage stays, and the agents' votes fill the log
+    rig.command_proxy(f"{owner}-machines", "hold")
     assert await rig.offer_build(2)
     assert await rig.processes[owner].wait() == 1
     last = (rig.folder / f"{owner}.log").read_text().splitlines()[-1]
@@ -310,26 +313,24 @@
     await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
 
-@rigged()
-async def test_an_owner_whose_disk_is_slow_loses_its_duty_and_nothing_else(rig, owner):
-    """Each fsync takes four times the election time-out, so that it is led by others as long as that lasts."""
+@with_rig()
+async def test_an_owner_with_a_slow_disk_loses_its_duty_and_the_release_goes_on(rig, owner):
+    """Each fsync takes four times the election time-out, so another member leads meanwhile."""
     rig.set_disk_fault(owner, slow=1.2)
     assert await rig.offer_build(2) or await rig.offer_build(2)
-    assert await _elsewhere(rig, owner)
+    assert await _wait_for_other_owner(rig, owner)
     await rig.wait_for_status(released(2))
     rig.set_disk_fault(owner)
     await rig.wait_for_status(lambda s: s["name"] == owner and s["led"] and released(2)(s))
 
 
-@rigged(election=700)
-async def test_a_peer_whose_disk_is_slow_holds_nobody_up(rig, owner):
+@with_rig(election=700)
+async def test_a_peer_with_a_slow_disk_delays_no_other_member(rig, owner):
     slow = other_than(rig, owner)
     epoch = (await rig.wait_for_status(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"]))[
         "duties"
     ]["release"]["epoch"]
-    rig.set_disk_fault(
-        slow, slow=0.25
-    )  # below the election time-out: it stays a member, and says each word late
+    rig.set_disk_fault(slow, slow=0.25)  # below the election time-out: it stays a member, and answers late
     assert await rig.offer_build(2)
     status = await rig.wait_for_status(released(2))
     assert (status["duties"]["release"]["owner"], status["duties"]["release"]["epoch"]) == (owner, epoch)
@@ -338,26 +339,26 @@
 
 
 @pytest.mark.parametrize("how", ["SIGKILL", "SIGSTOP"])
-def test_an_owner_is_struck_with_half_of_a_write_on_its_disk(tmp_path, how):
-    """What was told of stays, the rest is cut off or ended, and whoever was told by others is told nothing else."""
+def test_an_owner_is_killed_or_stopped_during_a_write(tmp_path, how):
+    """Half of a write is on its disk: acknowledged decisions stay, the incomplete one is cut off or ended."""
 
-    @rigged()
+    @with_rig()
     async def test(rig, owner):
         assert await rig.offer_build(2)
         await rig.wait_for_status(stage_is(2, 0))
         log = rig.folder / f"dir-{owner}" / "log"
         rig.set_disk_fault(owner, tear=how)
-        while (rig.folder / f"{owner}.disk").exists():  # taken away as it is torn
+        while (rig.folder / f"{owner}.disk").exists():  # it is removed when the write is torn
             await asyncio.sleep(0.01)
         if how == "SIGKILL":
             assert await rig.processes[owner].wait() == -signal.SIGKILL
-            assert cut_short(log.read_bytes())
-        assert await _elsewhere(rig, owner)
+            assert is_truncated(log.read_bytes())
+        assert await _wait_for_other_owner(rig, owner)
         await rig.wait_for_status(lambda s: s["name"] != owner and stage_is(2, 1)(s))
         if how == "SIGKILL":
             await rig.start_process(owner)
         else:
-            assert cut_short(log.read_bytes())  # it has stood still all the time
+            assert is_truncated(log.read_bytes())  # the process has been stopped all the time
             rig.send_signal(owner, signal.SIGCONT)
         await rig.wait_for_status(lambda s: s["name"] == owner and released(2)(s))
 
@@ -365,31 +366,32 @@
 
 
 @pytest.mark.parametrize("how", ["SIGKILL", "SIGSTOP"])
-def test_the_leader_is_struck_as_it_writes_the_vote_that_decides(tmp_path, how):
-    """Half of that vote is on its disk, nobody was told of it: told again it counts, once, and the stage goes on."""
+def test_the_leader_is_killed_or_stopped_while_it_writes_the_deciding_vote(tmp_path, how):
+    """Half of the vote is on its disk and no answer was sent: sent again, the vote counts once."""
 
-    @rigged(agents=6, votes=False)
+    @with_rig(agents=6, votes=False)
     async def test(rig, owner):
         assert await rig.offer_build(2)
         leader = (await rig.wait_for_status(lambda s: s["role"] == "leader" and stage_is(2, 0)(s)))["name"]
         other = other_than(rig, leader)
-        await until_followed(rig, lambda row: row["build"] == 2, 6)
-        assert await rig.cast_votes(other, (101, 102), 2, 0, pb.ON) == [pb.Verdict.OK] * 2  # three are due
+        await wait_until_followed(rig, lambda row: row["build"] == 2, 6)
+        # three are needed
+        assert await rig.cast_votes(other, (101, 102), Vote(2, 0, pb.ON)) == [pb.Verdict.OK] * 2
         await rig.wait_for_status(lambda s: s["name"] == leader and s["release"]["votes"]["on"] == 2)
         rig.set_disk_fault(leader, tear=how)
-        assert await rig.cast_votes(other, (103,), 2, 0, pb.ON) == [pb.Verdict.OK]
+        assert await rig.cast_votes(other, (103,), Vote(2, 0, pb.ON)) == [pb.Verdict.OK]
         rig.acknowledged_votes += [
             (agent, 2, 0) for agent in (101, 102, 103)
-        ]  # the verdict looks for them in the log
+        ]  # the check looks for them in the log
         assert not (rig.folder / f"{leader}.disk").exists()  # it was torn
         if how == "SIGKILL":
             assert await rig.processes[leader].wait() == -signal.SIGKILL
             await rig.start_process(leader)
         else:
             rig.send_signal(leader, signal.SIGCONT)
-        # votes stand for 5 s: where the election took longer than that, the others are told once more, as agents do
+        # votes count for 5 s: if the election took longer, others are sent again, as agents do
         while (at := (await rig.ask(other, ask="status"))["release"])["stage"] == 0:
-            await rig.cast_votes(other, (104, 105, 106), 2, 0, pb.ON)
+            await rig.cast_votes(other, (104, 105, 106), Vote(2, 0, pb.ON))
             await asyncio.sleep(0.2)
         assert (at["build"], at["stage"]) == (2, 1)
         await rig.wait_for_status(lambda s: s["name"] == leader and s["led"] and stage_is(2, 1)(s))
@@ -398,19 +400,19 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGSTOP])
-def test_the_owner_is_struck_with_half_of_the_agents_told(tmp_path, how):
-    """What it said to those that listen at it lies in the network until all have followed what came behind."""
+def test_the_owner_is_killed_or_stopped_when_some_agents_know_the_stage(tmp_path, how):
+    """Its messages to its own agents arrive only after all agents have followed later decisions."""
 
-    @rigged(agents=9)
+    @with_rig(agents=9)
     async def test(rig, owner):
         rig.command_proxy(f"agents-{owner}", "hold", "back")
         assert await rig.offer_build(2)
-        await until_followed(rig, lambda row: row["build"] == 2, 1)
+        await wait_until_followed(rig, lambda row: row["build"] == 2, 1)
         rig.send_signal(owner, how)
         await rig.wait_for_status(
             lambda s: s["name"] != owner and s["duties"]["release"]["owner"] not in (owner, None)
         )
-        await until_followed(rig, lambda row: row["build"] == 2 and row["stage"] == 2, 9)
+        await wait_until_followed(rig, lambda row: row["build"] == 2 and row["stage"] == 2, 9)
         rig.command_proxy(f"agents-{owner}", "pass")
         if how == signal.SIGSTOP:
             rig.send_signal(owner, signal.SIGCONT)
@@ -422,9 +424,9 @@
     test(tmp_path)
 
 
-@rigged()
-async def test_an_owner_that_is_cut_off_from_agents_alone_goes_on(rig, owner):
-    """It hears its peers and reaches the machines: agents hear of its decisions from the others, and the duty stays."""
+@with_rig()
+async def test_an_owner_that_is_cut_off_from_agents_only_keeps_its_duty(rig, owner):
+    """It reaches its peers and the machines, and agents learn its decisions from the other controllers."""
     rig.command_proxy(f"agents-{owner}", "mute")
     epoch = (await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"]))["duties"]["release"][
         "epoch"
@@ -432,30 +434,33 @@
     assert await rig.offer_build(2)
     status = await rig.wait_for_status(released(2))
     assert (status["duties"]["release"]["owner"], status["duties"]["release"]["epoch"]) == (owner, epoch)
-    await until_followed(rig, lambda row: row["build"] == 2 and row["phase"] == "released", 12)
+    await wait_until_followed(rig, lambda row: row["build"] == 2 and row["phase"] == "released", 12)
 
 
-@rigged()
+@with_rig()
 async def test_an_owner_of_steps_that_cannot_reach_their_target_gives_the_duty_up(rig, owner):
-    holder = await rig.wait_for_owner("steps owners")
-    rig.command_proxy(f"{holder}-steps", "mute")
+    steps_owner = await rig.wait_for_owner("steps owners")
+    rig.command_proxy(f"{steps_owner}-steps", "mute")
     assert await rig.offer_build(2)
-    status = await rig.wait_for_status(lambda s: s["duties"]["steps owners"]["owner"] not in (holder, None))
-    assert holder in status["members"] and status["members"][holder]["votes"]
+    status = await rig.wait_for_status(
+        lambda s: s["duties"]["steps owners"]["owner"] not in (steps_owner, None)
+    )
+    assert steps_owner in status["members"] and status["members"][steps_owner]["votes"]
     await rig.wait_for_status(released(2))
     assert rig.record_path.read_text().count('"kind": "step"') == 4
 
 
-@rigged()
-async def test_the_owner_of_steps_is_stopped_amid_one_and_wakes_up_late(rig, owner):
-    holder = await rig.wait_for_owner("steps owners")
-    rig.command_proxy(f"{holder}-steps", "hold", "out")  # its call for the first step lies in the network
+@with_rig()
+async def test_steps_run_once_when_their_owner_is_stopped_during_one_and_resumes_later(rig, owner):
+    steps_owner = await rig.wait_for_owner("steps owners")
+    # its call for the first step is delayed in the network
+    rig.command_proxy(f"{steps_owner}-steps", "hold", "out")
     assert await rig.offer_build(2)
     await rig.wait_for_status(lambda s: s["steps"]["owners"]["how"] == "begun")
-    rig.send_signal(holder, signal.SIGSTOP)
-    await rig.wait_for_status(lambda s: s["name"] != holder and len(s["steps"]["owners"]["done"]) == 4)
-    rig.command_proxy(f"{holder}-steps", "pass")
-    rig.send_signal(holder, signal.SIGCONT)
+    rig.send_signal(steps_owner, signal.SIGSTOP)
+    await rig.wait_for_status(lambda s: s["name"] != steps_owner and len(s["steps"]["owners"]["done"]) == 4)
+    rig.command_proxy(f"{steps_owner}-steps", "pass")
+    rig.send_signal(steps_owner, signal.SIGCONT)
     await rig.wait_for_status(released(2))
     ran = [
         row for row in map(json.loads, rig.record_path.read_text().splitlines()) if row.get("how") == "run"
@@ -464,17 +469,16 @@
 
 
 @pytest.mark.parametrize("step", [0, 2])
-def test_the_target_dies_between_doing_a_step_and_noting_it(tmp_path, step):
-    """Half of the line that is both is on its disk: it was not done, and is done once by whoever asks next."""
+def test_a_step_whose_record_is_torn_is_run_again_once(tmp_path, step):
+    """The line of the record is the step itself: with half of it on disk, the step has not been run."""
 
-    @rigged()
+    @with_rig()
     async def test(rig, owner):
         for name in rig.controller_names:
-            rig.command_proxy(f"{name}-machines", "hold")  # so that steps alone are written
+            rig.command_proxy(f"{name}-machines", "hold")  # so that only steps are written
         if step:
-            rig.command_proxy(
-                f"{await rig.wait_for_owner('steps owners')}-steps", "delay", "300ms"
-            )  # time to strike at one in the middle
+            # so that there is time to kill the target at a step in the middle
+            rig.command_proxy(f"{await rig.wait_for_owner('steps owners')}-steps", "delay", "300ms")
         assert await rig.offer_build(2)
         await rig.wait_for_status(lambda s: len(s["steps"]["owners"]["done"]) >= step)
         rig.set_disk_fault("receivers", tear="SIGKILL")
@@ -494,20 +498,20 @@
     test(tmp_path)
 
 
-def cut_short(log):
-    """Whether the last frame of a log lacks its end."""
-    at = FILE_ID_SIZE
-    while at < len(log):
-        if at + FRAME_HEADER.size > len(log):
+def is_truncated(log):
+    """Whether the last frame of a log is incomplete."""
+    offset = FILE_ID_SIZE
+    while offset < len(log):
+        if offset + FRAME_HEADER.size > len(log):
             return True
-        at += FRAME_HEADER.size + FRAME_HEADER.unpack_from(log, at)[0]
-    return at > len(log)
+        offset += FRAME_HEADER.size + FRAME_HEADER.unpack_from(log, offset)[0]
+    return offset > len(log)
 
 
-@rigged()
-async def test_hand_over_changes_the_owner_thrice_within_a_stage(rig, owner):
+@with_rig()
+async def test_hand_over_changes_the_owner_three_times_within_a_stage(rig, owner):
     for agent in rig.agents:
-        agent.is_voter = False
+        agent.votes = False
     assert await rig.offer_build(2)
     seen, epoch = [owner], (await rig.wait_for_status(stage_is(2, 0)))["duties"]["release"]["epoch"]
     for _ in range(3):
@@ -520,19 +524,18 @@
             ",".join(rig.listen_addresses[name] for name in rig.controller_names),
         )
         assert done.returncode == 0, done.stderr
-        # of the last one that was seen: the next status may come from a member that has not got so far
-        status = await rig.wait_for_status(lambda s: s["duties"]["release"]["epoch"] > epoch)
+        # compared with the last epoch seen: the next status may come from a member that lags
+        status = await rig.wait_for_status(lambda s, epoch=epoch: s["duties"]["release"]["epoch"] > epoch)
         epoch = status["duties"]["release"]["epoch"]
         seen.append(status["duties"]["release"]["owner"])
-    assert all(a != b for a, b in zip(seen, seen[1:]))
-    await rig.wait_for_status(
-        lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] == epoch
-    )  # it has got so far, too
+    assert all(earlier != later for earlier, later in pairwise(seen))
+    # the member that is asked next has to have caught up
+    await rig.wait_for_status(lambda s: s["name"] == owner and s["duties"]["release"]["epoch"] == epoch)
     rows = await rig.ask(owner, ask="history")
     assert [row["why"] for row in rows if row["duty"] == "release"].count("asked for") == 3
 
 
-def test_recover_begins_an_incarnation_above_all_epochs(tmp_path):
+def test_recover_starts_an_incarnation_above_all_epochs(tmp_path):
     async def play():
         rig = Rig(tmp_path / "rig", RigConfig())
         await rig.start()
@@ -545,7 +548,7 @@
             left, lost = [name for name in rig.controller_names if name != owner]
             await rig.start_process(left)
             status = await rig.wait_for_status(lambda s: s["name"] == left)
-            assert not status["led"] and not await rig.offer_build(3)  # alone it leads nobody
+            assert not status["led"] and not await rig.offer_build(3)  # it is no majority
             await rig.kill(left)
             refused = cartweir("controller", "recover", "-s", rig.folder / f"{left}.ini")
             assert refused.returncode == 2 and "--others-are-gone" in refused.stderr
@@ -559,9 +562,9 @@
                 status["duties"]["release"]["epoch"] > before["duties"]["release"]["epoch"]
                 and status["incarnation"] == 1
             )
-            await rig.start_process(lost)  # one of the old incarnation that comes back after all is not heard
+            await rig.start_process(lost)  # messages of a member of the old incarnation are rejected
             await rig.wait_for_status(lambda s: s["name"] == left and released(2)(s))
-            status = await rig.wait_for_status(lambda s: s["name"] == lost)  # once it listens
+            status = await rig.wait_for_status(lambda s: s["name"] == lost)  # once it can be asked
             assert status["role"] != "leader" and status["incarnation"] == 0
         finally:
             await rig.stop()
@@ -569,11 +572,11 @@
     asyncio.run(play())
 
 
-def test_receivers_without_a_fence_are_found_out(tmp_path):
-    """The verdict's own proof: the same late call as above, at receivers that take whatever comes."""
+def test_the_check_finds_receivers_without_a_fence(tmp_path):
+    """The same delayed call as above, at receivers that accept late effects: the check has to find it."""
 
     async def play():
-        rig = Rig(tmp_path / "rig", RigConfig(), unfenced=True)
+        rig = Rig(tmp_path / "rig", RigConfig(unfenced=True))
         await rig.start()
         try:
             owner = await rig.wait_for_owner()
@@ -585,17 +588,17 @@
             while len(rig.record_path.read_text().splitlines()) < lines + 2:
                 await asyncio.sleep(0.05)
         finally:
-            verdict = await rig.stop_and_check()
-        assert any("was carried out after" in breach for breach in verdict.breaches), verdict.text()
+            report = await rig.stop_and_check()
+        assert any("was carried out after" in breach for breach in report.breaches), report.text()
 
     asyncio.run(asyncio.wait_for(play(), 60))
 
 
-@pytest.mark.parametrize("deaf_first", [True, False])
-def test_a_ballot_goes_on_to_a_controller_that_answers(deaf_first):
-    """Guards against agents whose controller hears the others and is not heard: it never answers a ballot."""
+@pytest.mark.parametrize("silent_first", [True, False])
+def test_a_ballot_is_sent_to_the_next_controller_when_one_does_not_answer(silent_first):
+    """A controller that hears its peers and is not heard sends stages, but never answers a ballot."""
 
-    def office(answers):
+    def controller(answers):
         service, ballots = Service(), []
 
         async def news(request):
@@ -613,25 +616,26 @@
         return service, ballots, service.listen_on("127.0.0.1:0")
 
     async def play():
-        (deaf, unheard, first), (good, heard, second) = office(False), office(True)
-        said = []
-        agent = LightAgent(0, [first, second], lambda event, **facts: said.append(event))
-        agent.news._at = agent.news._counts = 0 if deaf_first else 1
-        while "vote" not in said:
+        (silent, unanswered, first), (answering, answered, second) = controller(False), controller(True)
+        events = []
+        agent = LightAgent(0, [first, second], lambda event, **facts: events.append(event))
+        agent.conveyor._at = agent.conveyor._counts = 0 if silent_first else 1
+        while "vote" not in events:
             await asyncio.sleep(0.01)
-        assert len(heard) == 1 and set(unheard) <= set(heard)  # the same ballot, under its number
-        while len(heard) < 3:
+        # the same ballot, with the same serial number
+        assert len(answered) == 1 and set(unanswered) <= set(answered)
+        while len(answered) < 3:
             await asyncio.sleep(0.01)
-        assert len(unheard) == int(deaf_first)  # later ones go first to whom answered
+        assert len(unanswered) == int(silent_first)  # later ballots go first to the controller that answered
         agent.close()
-        deaf.shutdown()
-        good.shutdown()
+        silent.shutdown()
+        answering.shutdown()
 
     asyncio.run(asyncio.wait_for(play(), 5))
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    "change, message",
     [
         ("cluster = rig", "of cluster rig"),
         ("name = a", "of name a"),
@@ -640,7 +644,7 @@
         ("caps = 0.14", "caps"),
     ],
 )
-def test_bad_settings_and_another_ones_directory_end_with_one_line(tmp_path, change, says):
+def test_bad_settings_and_another_members_directory_end_with_one_line(tmp_path, change, message):
     async def make():
         rig = Rig(tmp_path / "rig", RigConfig(agents=0))
         await rig.start()
@@ -662,23 +666,28 @@
             path.write_text(text.replace(old, to, 1))
     log = (rig.folder / "dir-a" / "log").read_bytes()
     done = cartweir("controller", "run", "-s", path)
-    assert done.returncode in (1, 2) and says in done.stderr and "Traceback" not in done.stderr, done.stderr
+    assert done.returncode in (1, 2) and message in done.stderr and "Traceback" not in done.stderr, (
+        done.stderr
+    )
     assert (rig.folder / "dir-a" / "log").read_bytes() == log
 
 
-@rigged(agents=6, votes=False)
-async def test_the_cap_is_lowered_while_the_old_owner_has_the_higher_one_on_its_lips(rig, owner):
-    """It is stopped in stage 1, a build goes back meanwhile, it wakes up: no agent hears the higher cap again."""
+@with_rig(agents=6, votes=False)
+async def test_no_agent_follows_a_former_owners_higher_cap_after_the_cap_was_lowered(rig, owner):
+    """The owner is stopped in stage 1, the build is withdrawn meanwhile, then the owner resumes."""
     assert await rig.offer_build(2)
     other = other_than(rig, owner)
     while (at := (await rig.ask(other, ask="status"))["release"])["build"] == 1 or at["stage"] == 0:
-        await rig.cast_votes(other, (101, 102, 103), 2, 0, pb.ON)
+        await rig.cast_votes(other, (101, 102, 103), Vote(2, 0, pb.ON))
         await asyncio.sleep(0.2)
-    await until_followed(rig, lambda row: row["stage"] == 1, 6)
+    await wait_until_followed(rig, lambda row: row["stage"] == 1, 6)
     rig.send_signal(owner, signal.SIGSTOP)
     await rig.wait_for_status(lambda s: s["duties"]["release"]["owner"] not in (owner, None))
-    assert await rig.cast_votes(other_than(rig, owner), (201, 202, 203), 2, 1, pb.BACK) == [pb.Verdict.OK] * 3
-    await until_followed(rig, lambda row: row["phase"] in ("going back", "withdrawn"), 6)
+    assert (
+        await rig.cast_votes(other_than(rig, owner), (201, 202, 203), Vote(2, 1, pb.BACK))
+        == [pb.Verdict.OK] * 3
+    )
+    await wait_until_followed(rig, lambda row: row["phase"] in ("going back", "withdrawn"), 6)
     lowered = len(rig.followed_stages)
     rig.send_signal(owner, signal.SIGCONT)
     epoch = (await rig.wait_for_status(lambda s: s["release"]["phase"] == "WITHDRAWN"))["duties"]["release"][
@@ -688,16 +697,16 @@
     assert all(row["cap"] == 0 for row in rig.followed_stages[lowered:])
 
 
-async def until_followed(rig, holds, agents):
+async def wait_until_followed(rig, condition, agents):
     for _ in range(400):
-        if len({row["agent"] for row in rig.followed_stages if holds(row)}) >= agents:
+        if len({row["agent"] for row in rig.followed_stages if condition(row)}) >= agents:
             return
         await asyncio.sleep(0.05)
-    raise TimeoutError("not all agents followed it")
+    raise TimeoutError(f"fewer than {agents} agents followed the stage")
 
 
-async def answers(channel):
-    """Whether the receivers' process listens: it is asked with a stamp below all others."""
+async def listens(channel):
+    """Whether the receivers' process listens: it gets a call with a token below all others."""
     try:
         await channel.unary(
             "/cartweir.v1.Steps/Run",
@@ -709,8 +718,8 @@
     return True
 
 
-def test_two_controllers_that_try_one_step_at_once_carry_it_out_once(tmp_path):
-    """Each under an epoch of its own, twelve calls in one moment: the target's process does it once, and says so to all others."""
+def test_a_step_that_two_controllers_request_at_once_runs_once(tmp_path):
+    """Twelve calls at once under two epochs: the target runs the step once."""
 
     async def run():
         rig = Rig(tmp_path / "rig", RigConfig(agents=0))
@@ -719,7 +728,7 @@
             for name in rig.controller_names:
                 await rig.kill(name)
             channels = [Channel(rig.listen_addresses["receivers"], 500_000) for _ in range(2)]
-            while not await answers(channels[0]):
+            while not await listens(channels[0]):
                 await asyncio.sleep(0.05)
             for number, name in enumerate(rig.config.steps):
 
@@ -737,7 +746,7 @@
                         ).message
                     ).how
 
-                asked = [ask(900 + at % 2, channels[at % 2]) for at in range(12)]
+                asked = [ask(900 + call % 2, channels[call % 2]) for call in range(12)]
                 how = await asyncio.gather(*asked)
                 assert pb.Ran.DONE in how and set(how) <= {pb.Ran.DONE, pb.Ran.LATE}
             for channel in channels:
@@ -751,37 +760,40 @@
     asyncio.run(run())
 
 
-@rigged(agents=4, votes=False)
+@with_rig(agents=4, votes=False)
 async def test_a_vote_whose_answer_is_lost_with_its_agent_counts_once(rig, owner):
-    """The agent is restarted before the answer comes, and votes under another number: one of the two that are due still lacks."""
+    """The agent is restarted before the answer, and votes again under another serial number.
+
+    Two votes are needed, so the second one is still missing.
+    """
     assert await rig.offer_build(2)
     other = other_than(rig, owner)
     await rig.wait_for_status(lambda s: s["name"] == other and s["release"]["build"] == 2)
     rig.command_proxy(f"agents-{other}", "hold", "back")
-    lost = Channel(dict(zip(rig.controller_names, rig.agent_addresses))[other], 500_000)
+    lost = Channel(dict(zip(rig.controller_names, rig.agent_addresses, strict=True))[other], 500_000)
     ballot = pb.Ballot(agent=0, build=2, stage=0, choice=pb.ON, serial=71)
     with pytest.raises(CallError):
         await lost.unary("/cartweir.v1.Conveyor/Vote", ballot.SerializeToString(), 700_000)
     lost.close()
     rig.command_proxy(f"agents-{other}", "pass")
-    assert await rig.cast_votes(other, (0,), 2, 0, pb.ON) == [pb.Verdict.OK]  # its next life
+    assert await rig.cast_votes(other, (0,), Vote(2, 0, pb.ON)) == [pb.Verdict.OK]  # after its restart
     release = (await rig.ask(other, ask="status"))["release"]
     assert (release["stage"], release["votes"]) == (0, {"on": 1, "back": 0})
-    assert await rig.cast_votes(other, (0, 1), 2, 0, pb.ON) == [pb.Verdict.OK] * 2
+    assert await rig.cast_votes(other, (0, 1), Vote(2, 0, pb.ON)) == [pb.Verdict.OK] * 2
     await rig.wait_for_status(stage_is(2, 1))
 
 
-@rigged(agents=4, votes=False)
-async def test_an_agent_in_a_crash_loop_votes_no_stage_on_alone(rig, owner):
+@with_rig(agents=4, votes=False)
+async def test_an_agent_in_a_crash_loop_does_not_advance_a_stage_alone(rig, owner):
     assert await rig.offer_build(2)
-    await until_followed(rig, lambda row: row["build"] == 2, 4)
+    await wait_until_followed(rig, lambda row: row["build"] == 2, 4)
     looping = rig.agents[0]
     looping.votes = True
-    for life in range(8):
+    for _ in range(8):
         looping.stop()
         looping.start()
-        told = len(rig.acknowledged_votes)
-        while len(rig.acknowledged_votes) == told:  # each life has voted
+        acknowledged = len(rig.acknowledged_votes)
+        while len(rig.acknowledged_votes) == acknowledged:  # until it has voted after this start
             await asyncio.sleep(0.02)
     assert {agent for agent, *_ in rig.acknowledged_votes} == {0}
     release = (await rig.ask(owner, ask="status"))["release"]
