--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,6 @@
 from cartweir.hosting.tcp import connect, split_address  # noqa: E402
 from cartweir.proto import agent_pb2 as pb  # noqa: E402
 from cartweir.standin.registry import Registry  # noqa: E402
-from cartweir.wire import grpc  # noqa: E402
 from cartweir.wire.calls import Channel, Service  # noqa: E402
 from cartweir.wire.connection import Connection  # noqa: E402
 from cartweir.wire.session import SessionLimits  # noqa: E402
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -202,7 +202,7 @@
     other = Peers(
         RecordingHost(1), addresses[1], addresses, None, lambda event, **facts: notes.append((event, None))
     )
-    largest = [0, 2**53 - 1, *[10**18 - 1] * 12]  # a sum, with the largest build, as logic.py sends it
+    largest = [0, 2**53 - 1, *[10**18 - 1] * 12]  # a sum, with the largest build, as the decisions send it
     try:
         other.message(0, largest)
         other._socket.sendto(b"1 " * 128 + b"23", peers._peers[0])
