--- a/cartweir/faults/rig.py
+++ b/cartweir/faults/rig.py
@@ -4,15 +4,12 @@
 
 import asyncio
 import contextlib
-import functools
-import itertools
 import json
 import random
 import signal
-import socket
 import sys
 from collections import Counter
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -26,6 +23,7 @@
 from ..wire.calls import CallError, Channel
 from .consistency_check import ConsistencyReport, check_consistency
 from .light_agent import LightAgent, LightAgentOptions
+from .ports import free_addresses
 
 SETTINGS = """\
 [controller]
@@ -100,53 +98,6 @@
 POLL_INTERVAL = 0.03  # seconds between two rounds of questions
 VOTE_RETRY_DELAY = 0.05  # seconds
 
-# Ports are handed out below the range from which Linux draws ports of its own (32768 and up), so that no
-# outgoing connection takes one while a process that listens there is restarted.
-FIRST_PORT = 12_000
-PORTS_PER_PROCESS = 256
-PORT_RANGES = 80
-
-
-@functools.cache
-def _claim_ports() -> tuple[socket.socket, Iterator[int]]:
-    """Claims a range of ports for this process, and returns its ports in turn.
-
-    The claim is a UDP socket bound to the first port of the range. It is released when the process ends,
-    however it ends, so two processes on one machine never hand out the same ports.
-    """
-    claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    for number in range(PORT_RANGES):
-        first = FIRST_PORT + number * PORTS_PER_PROCESS
-        with contextlib.suppress(OSError):
-            claim.bind(("127.0.0.1", first))
-            return claim, itertools.cycle(range(first + 1, first + PORTS_PER_PROCESS))
-    claim.close()
-    raise OSError(f"all {PORT_RANGES} port ranges from {FIRST_PORT} are claimed by other processes")
-
-
-def _can_listen(port: int) -> bool:
-    with socket.socket() as probe:
-        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        try:
-            probe.bind(("127.0.0.1", port))
-        except OSError:
-            return False
-    return True
-
-
-def free_addresses(count: int) -> list[str]:
-    """Returns addresses on which nothing listens, from the port range that this process has claimed.
-
-    Raises:
-        OSError: there are not enough free ports.
-    """
-    _, ports = _claim_ports()
-    free = filter(_can_listen, itertools.islice(ports, PORTS_PER_PROCESS - 1))
-    found = [f"127.0.0.1:{port}" for port in itertools.islice(free, count)]
-    if len(found) < count:
-        raise OSError(f"only {len(found)} of {count} ports are free in the range of this process")
-    return found
-
 
 @dataclass
 class RigConfig:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,10 +6,16 @@
 
 from __future__ import annotations
 
+import errno
+import itertools
+import os
+import socket
 from pathlib import Path
 
 import pytest
 
+from cartweir.faults.ports import PORTS_PER_PROCESS, claimed_ports
+
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MOST_LINES = 3
 FIELDS = ("test", "cause", "issue")
@@ -32,6 +38,33 @@
     return {line.split(" | ")[0].strip(): line for line in lines}
 
 
+def take_free_ports_from_the_claimed_range() -> None:
+    """Binds sockets of this process that ask for any port of 127.0.0.1 to ports of its own range.
+
+    Tests run in several processes. A node whose discovery was stopped connects again and again to its
+    address. If the kernel has given that port to another process meanwhile, the requests reach the servers
+    of another test.
+    """
+    bind = socket.socket.bind
+
+    def bind_to_claimed(self: socket.socket, address: object, /) -> None:
+        if address != ("127.0.0.1", 0):
+            return bind(self, address)
+        for port in itertools.islice(claimed_ports(), PORTS_PER_PROCESS):
+            try:
+                return bind(self, ("127.0.0.1", port))
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE:
+                    raise
+        raise OSError(errno.EADDRINUSE, "no port of the claimed range is free")
+
+    socket.socket.bind = bind_to_claimed
+
+
+if "PYTEST_XDIST_WORKER" in os.environ:
+    take_free_ports_from_the_claimed_range()
+
+
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     lines = known_red()
     for item in items:
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -24,7 +24,8 @@
 
 from cartweir.agent.key_journal_file import BOOT_ID_FILE, KeyJournalFile
 from cartweir.faults.mass_restart import RestartScenario, run_scenario
-from cartweir.faults.rig import Rig, RigConfig, free_addresses
+from cartweir.faults.ports import free_addresses
+from cartweir.faults.rig import Rig, RigConfig
 from cartweir.fleet.fencing import FencingToken
 from cartweir.fleet.key_journal import JournalHeader, encode_journal, read_journal
 from cartweir.proto import agent_pb2 as pb
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -20,7 +20,8 @@
 
 from cartweir.controller.store import FILE_ID_SIZE, FRAME_HEADER
 from cartweir.faults.light_agent import LightAgent
-from cartweir.faults.rig import Rig, RigConfig, Vote, free_addresses
+from cartweir.faults.ports import free_addresses
+from cartweir.faults.rig import Rig, RigConfig, Vote
 from cartweir.proto import agent_pb2 as pb
 from cartweir.wire.calls import CallError, Channel, Service
 
