--- a/cartweir/__main__.py
+++ b/cartweir/__main__.py
@@ -1,4 +1,5 @@
 """python -m cartweir: the command line."""
+
 from .cli import main
 
 if __name__ == "__main__":
--- a/cartweir/cli/common.py
+++ b/cartweir/cli/common.py
@@ -1,4 +1,5 @@
 """What several groups of commands share."""
+
 from __future__ import annotations
 
 from pathlib import Path
--- a/cartweir/standin/cut.py
+++ b/cartweir/standin/cut.py
@@ -12,6 +12,7 @@
     refuse | accept             new connections are reset at once, or taken again
     mute                        as hold, and new connections are taken and never connected on: a machine that is cut off
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -31,16 +32,17 @@
 PATH = "/cartweir.standin.Cut/Do"
 WAYS = ("out", "back")
 CHUNK = 64 * 1024
-RESET = struct.pack("ii", 1, 0)         # SO_LINGER: close sends RST
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends RST
 
 
 @dataclass
 class Way:
     """Faults of one direction of a route."""
+
     held: bool = False
     delay: int = 0
     rate: int = 0
-    garble: int | None = None           # bytes until the one that is spoilt
+    garble: int | None = None  # bytes until the one that is spoilt
     go: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
@@ -73,7 +75,7 @@
             self.say("refused", route=self.name, connection=number)
             _break(writer)
             return
-        await self.ways["out"].go.wait()        # a machine that is cut off: taken by the kernel, and that is all
+        await self.ways["out"].go.wait()  # a machine that is cut off: taken by the kernel, and that is all
         try:
             far_reader, far_writer = await asyncio.open_connection(*split_address(self.target))
         except OSError as error:
@@ -82,12 +84,16 @@
             return
         pair = (writer, far_writer)
         self.pairs.add(pair)
-        await asyncio.gather(self._pass("out", number, reader, far_writer), self._pass("back", number, far_reader, writer))
+        await asyncio.gather(
+            self._pass("out", number, reader, far_writer), self._pass("back", number, far_reader, writer)
+        )
         self.pairs.discard(pair)
         for end in pair:
             end.close()
 
-    async def _pass(self, name: str, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _pass(
+        self, name: str, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """In order; each chunk leaves when its delay is over, so that a delay does not bound the rate."""
         way, queue = self.ways[name], asyncio.Queue()
         sender = spawn(self._send(way, queue, writer, number, name))
@@ -98,9 +104,11 @@
             await sender
         except OSError:
             sender.cancel()
-            _break(writer)                      # what broke here breaks there
+            _break(writer)  # what broke here breaks there
 
-    async def _send(self, way: Way, queue: asyncio.Queue, writer: asyncio.StreamWriter, number: int, name: str) -> None:
+    async def _send(
+        self, way: Way, queue: asyncio.Queue, writer: asyncio.StreamWriter, number: int, name: str
+    ) -> None:
         try:
             while True:
                 due, data = await queue.get()
@@ -126,12 +134,12 @@
             return data
         at, way.garble = way.garble, None
         self.say("garbled", route=self.name, way=name, connection=number, byte=data[at], into=data[at] ^ 1)
-        return data[:at] + bytes((data[at] ^ 1,)) + data[at + 1:]
+        return data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]
 
     def do(self, what: str, ways: tuple[str, ...], value: str | None) -> None:
         """Raises ValueError with what would be right."""
         match what, value:
-            case ("hold" | "mute"), None:
+            case (("hold" | "mute"), None):
                 for way in ways:
                     self.ways[way].go.clear()
             case "pass", None:
@@ -155,12 +163,16 @@
                 for pair in list(self.pairs):
                     for end in pair:
                         _break(end)
-            case ("refuse" | "accept"), None:
+            case (("refuse" | "accept"), None):
                 self.refusing = what == "refuse"
             case _:
-                raise ValueError(f"{what!r} {value or ''}: hold, pass, mute, close, reset, refuse, accept, delay TIME, slow "
-                                 "BYTES or garble NUMBER is due")
-        self.say("fault", route=self.name, what=what, ways=list(ways), value=value, connections=len(self.pairs))
+                raise ValueError(
+                    f"{what!r} {value or ''}: hold, pass, mute, close, reset, refuse, accept, delay TIME, slow "
+                    "BYTES or garble NUMBER is due"
+                )
+        self.say(
+            "fault", route=self.name, what=what, ways=list(ways), value=value, connections=len(self.pairs)
+        )
 
 
 def _break(writer: asyncio.StreamWriter) -> None:
@@ -198,7 +210,9 @@
     def command(self, given: list[str]) -> None:
         """ROUTE|all WHAT [VALUE] [out|back|both]. Raises ValueError with what would be right."""
         if len(given) < 2 or given[0] != "all" and given[0] not in self.routes:
-            raise ValueError(f"{' '.join(given)!r}: a route ({', '.join(self.routes)}) or all, and a command are due")
+            raise ValueError(
+                f"{' '.join(given)!r}: a route ({', '.join(self.routes)}) or all, and a command are due"
+            )
         way = given[-1] if len(given) > 2 and given[-1] in (*WAYS, "both") else "both"
         rest = [word for word in given[1:] if word not in (*WAYS, "both")]
         for route in self.routes.values() if given[0] == "all" else (self.routes[given[0]],):
